--- a/measure/desk_load.py
+++ b/measure/desk_load.py
@@ -17,8 +17,8 @@
 
 from monsoonflow.core.clock import Clock, MonotonicClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.discovery.book import ServerBook
 from monsoonflow.discovery.models import BackendServer
+from monsoonflow.discovery.registry import ServerRegistry
 from monsoonflow.entry.duties import Duties, Duty
 from monsoonflow.entry.settings import PeerBounds
 from monsoonflow.fleet import codec
@@ -171,7 +171,7 @@
     def report(self) -> NodeReport:
         """Return its word about itself."""
         self.sequence += 1
-        work = self.in_flight.by_server
+        work = self.in_flight.work_by_server
         return NodeReport(self.card, self.sequence, True, False, 1, True, work)
 
     def tell(self) -> None:
@@ -276,7 +276,7 @@
         tokens = self.rng.randint(*PROMPT_TOKENS)
         ticket = asker.in_flight.begin(life, self.clock.now_ms(), adapter, tokens, tokens)
         use_s = self.rng.uniform(*USE_MS) / 1000
-        gevent.spawn_later(use_s / 2, asker.in_flight.first_event, ticket)
+        gevent.spawn_later(use_s / 2, asker.in_flight.record_first_event, ticket)
         gevent.spawn_later(use_s, asker.in_flight.end, ticket)
 
     def deliver(self, data: bytes) -> None:
@@ -288,7 +288,7 @@
     def holders_report(self) -> bytes:
         """Return the bytes of the holder's own report."""
         residency = self.duties.told_residency()
-        work = self.in_flight.by_server
+        work = self.in_flight.work_by_server
         report = NodeReport(_card(HOLDER), 1, True, False, 1, True, work, residency=residency)
         return codec.encode(report)
 
@@ -299,7 +299,7 @@
 
     def _stand_in_daemon(self) -> Any:
         traits: EngineTraits = attrs.evolve(TRAITS, adapter_slots=self.size.places)
-        book = ServerBook()
+        book = ServerRegistry()
         now_ms = self.clock.now_ms()
         for port, life in enumerate(self.runners, 8_000):
             book.put(BackendServer(life, CELL, f"10.0.0.1:{port}", "dc"), now_ms)
--- a/measure/entry.py
+++ b/measure/entry.py
@@ -18,7 +18,7 @@
 from monsoonflow.fleet.models import DutyClaim, HeldAdapters, NodeCard, NodeReport  # noqa: E402
 from monsoonflow.helpers.logfmt import LineFormatter  # noqa: E402
 from monsoonflow.logs.lines import QueueHandler  # noqa: E402
-from monsoonflow.routing.budget import Spent  # noqa: E402
+from monsoonflow.routing.budget import RetryUsage  # noqa: E402
 from monsoonflow.routing.in_flight import ServerWork  # noqa: E402
 from script.ports import free_port  # noqa: E402
 from stand_ins.platform_store import PlatformStore  # noqa: E402
@@ -97,7 +97,7 @@
             f"i-{number:010x}": ServerWork(3, 2_400, 7_000, Counter({refs[0].name: 1}))
             for number in range(uses)
         },
-        {f"s{number}": Spent(80, 3) for number in range(2)},
+        {f"s{number}": RetryUsage(80, 3) for number in range(2)},
         claims=(DutyClaim("service1a", "front-zone-1-1", 9, ("n1", "n2", "n3")),),
         residency=tuple(HeldAdapters(f"i-{number:010x}", refs) for number in range(runners)),
     )
--- a/measure/services.py
+++ b/measure/services.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from monsoonflow.routing.servers import ServerChoice
+from monsoonflow.routing.balancer import LeastCallsBalancer
 
 NODES = 7
 SERVERS = 3
@@ -115,7 +115,7 @@
 
 def as_the_product(loads: list[ServerLoad], rng: random.Random) -> int:
     """Choose with the product's own code."""
-    choice = ServerChoice(rng)
+    choice = LeastCallsBalancer(rng)
     choice._in_flight_by_address = {
         load.address: load.in_flight for load in loads if load.in_flight
     }
--- a/monsoonflow/api/callers.py
+++ b/monsoonflow/api/callers.py
@@ -6,7 +6,7 @@
 
 import bottle
 
-from ..address.choice import order_nodes
+from ..address.node_order import order_nodes
 from ..core.adapter import parse_model
 from ..core.outcome import Done
 from ..node.const import HEAD_WAIT_MS
--- a/monsoonflow/api/services.py
+++ b/monsoonflow/api/services.py
@@ -16,7 +16,7 @@
 from ..node.context import NodeContext
 from ..node.relay import HEADER_NODE_TOKEN
 from ..request.parse import BadRequest, Terms, parse_terms
-from ..routing.keys import KeyClash, KeysFull, KnownKey
+from ..routing.idempotency_keys import KeyConflict, KeysFull, KnownKey
 from ..transport.const import ONE_CONNECTION_ONLY
 from ..transport.models import BrokenAnswer, Lost
 from ..transport.wsgi import RAW_HEADERS, RAW_TARGET, AnswerCut
@@ -105,7 +105,7 @@
         match verdict:
             case KnownKey():
                 return Unknown("the key was used before; the first call may have run")
-            case KeyClash():
+            case KeyConflict():
                 return NotRun("the key was used for another call", status=422)
             case KeysFull():
                 return NotRun("too many keys are kept", 10_000)
@@ -115,7 +115,7 @@
     def _release_key(self, customer: str, terms: Terms, ran: bool) -> None:
         if terms.key is not None:
             key = f"service\x00{terms.key}"
-            self._context.keys.ended(customer, key, self._context.now_ms(), ran)
+            self._context.keys.record_end(customer, key, self._context.now_ms(), ran)
 
     def _try_servers(
         self, addresses: tuple[str, ...], call: Onward, repeatable: bool
@@ -137,10 +137,10 @@
                 case OpenAnswer():
                     return self._passed_on(result, address, call)
                 case Lost(sent=True) if not repeatable or call.body:
-                    context.server_choice.ended(address)
+                    context.server_choice.record_end(address)
                     return Unknown(result.reason)
                 case Lost():
-                    context.server_choice.ended(address)
+                    context.server_choice.record_end(address)
                     context.leaving.check_failed(address)
                     reason = result.reason
                     left.remove(address)
@@ -169,7 +169,7 @@
             raise AnswerCut("the server's answer was cut") from error
         finally:
             answer.close()
-            self._context.server_choice.ended(address)
+            self._context.server_choice.record_end(address)
             self._context.service_calls -= 1
 
 
--- a/monsoonflow/discovery/models.py
+++ b/monsoonflow/discovery/models.py
@@ -30,7 +30,7 @@
     service: str
     address: str
     data_centre: str
-    slots: int = 1
-    leaving: bool = False
-    leaves_in_ms: int | None = None
+    max_concurrent_requests: int = 1
+    is_leaving: bool = False
+    leaving_in_ms: int | None = None
     models: tuple[HeldModel, ...] = ()
--- a/monsoonflow/entry/activity.py
+++ b/monsoonflow/entry/activity.py
@@ -46,8 +46,8 @@
     def _is_active(self) -> bool:
         return (
             self._view.is_small()
-            or bool(self._in_flight.by_server)
-            or self._budget.busy(self._clock.now_ms())
+            or bool(self._in_flight.work_by_server)
+            or self._budget.is_busy(self._clock.now_ms())
             or self._watches()
             or self._view.name in self._view.duty_names()
         )
--- a/monsoonflow/entry/address.py
+++ b/monsoonflow/entry/address.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from ..address.aperture import Candidate, named
+from ..address.advertised_nodes import CandidateNode, advertised_nodes
 from ..core.clock import Clock
 from ..fleet.view import FleetView
 from ..logs import events, log
@@ -60,7 +60,7 @@
         candidates = self._candidates(now_ms)
         known = {candidate.data_centre for candidate in candidates}
         near = data_centre if data_centre in known else self._data_centre
-        found = named(candidates, near)
+        found = advertised_nodes(candidates, near)
         self._note(near, found, len(candidates), now_ms)
         return [candidate.address for candidate in found[:MAX_ADDRESSES]], self._ttl_s
 
@@ -68,13 +68,13 @@
         """Return how many nodes were last named, by data centre."""
         return {where: len(names) for where, names in self._named_by_data_centre.items()}
 
-    def _candidates(self, now_ms: int) -> list[Candidate]:
+    def _candidates(self, now_ms: int) -> list[CandidateNode]:
         view = self._view
         holders = view.holder_names()
         found = []
         if self._own_ready():
             found.append(
-                Candidate(
+                CandidateNode(
                     view.name,
                     self._data_centre,
                     self._own_address,
@@ -88,7 +88,7 @@
             if card is None or not report.ready or report.leaving:
                 continue
             found.append(
-                Candidate(
+                CandidateNode(
                     card.name,
                     card.data_centre,
                     card.callers_address,
@@ -99,7 +99,7 @@
             )
         return found
 
-    def _note(self, near: str, found: list[Candidate], of: int, now_ms: int) -> None:
+    def _note(self, near: str, found: list[CandidateNode], of: int, now_ms: int) -> None:
         """Log that other nodes are named than before, at times."""
         names = frozenset(candidate.name for candidate in found)
         before = self._named_by_data_centre.get(near)
--- a/monsoonflow/entry/beliefs.py
+++ b/monsoonflow/entry/beliefs.py
@@ -10,7 +10,7 @@
 from ..core.adapter import AdapterRef
 from ..core.clock import Clock
 from ..core.server_life import ServerLife
-from ..discovery.book import ServerBook
+from ..discovery.registry import ServerRegistry
 from ..fleet.models import NamedVersion, NodeReport
 from ..logs import events, log
 from ..routing.routes import RouteTable
@@ -45,7 +45,7 @@
         self._clock = clock
         self.table: RouteTable | None = None
         self.table_body = b""
-        self.book = ServerBook()
+        self.book = ServerRegistry()
         self.version_by_adapter: dict[str, int] = {}
         self._named_by_adapter: dict[str, list[_Named]] = {}
         self._asked_for: dict[ServerLife, int] = {}
@@ -111,19 +111,19 @@
 
     def recent_came(self) -> tuple[ServerLife, ...]:
         """Return the servers that lately came."""
-        return tuple(self.book.recently_came(self._clock.now_ms(), TELL_MS))
+        return tuple(self.book.recently_added(self._clock.now_ms(), TELL_MS))
 
     def take_report(self, report: NodeReport) -> bool:
         """Take what another node says of servers and versions; return whether it knows of more."""
         now_ms = self._clock.now_ms()
         for life in report.left_servers:
-            if life in self.book.by_life:
-                self.book.left(life, now_ms, f"told by {report.name}")
+            if life in self.book.server_by_life:
+                self.book.mark_leaving(life, now_ms, f"told by {report.name}")
         for told in report.versions:
             self.take_version(told.ref, report.name, now_ms - told.age_ms)
         # Asked for once: a report that goes on naming what the store does not hold would make each
         # node ask twice a second.
-        unknown = {life for life in report.came_servers if not self.book.knows(life)}
+        unknown = {life for life in report.came_servers if not self.book.is_known(life)}
         news = unknown - self._asked_for.keys()
         self._asked_for.update(dict.fromkeys(news, now_ms))
         for life, at_ms in list(self._asked_for.items()):
--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -33,7 +33,7 @@
 from ..quarantine.ended import ServerEnds
 from ..quarantine.keeper import QuarantineKeeper
 from ..routing.budget import FleetRetryBudget, RetryAllowance
-from ..routing.condition import Conditions
+from ..routing.health import HealthTracker
 from ..routing.in_flight import InFlight
 from ..storage.models import ChangedRow, ChangeFeed, RawTable
 from ..storage.settling import SettlingTable
@@ -125,7 +125,7 @@
         self.beliefs = Beliefs(self.clock)
         self.in_flight = InFlight(self._adapter_use_changed)
         self.backlog = Backlog(self.in_flight, self.view)
-        self.conditions = Conditions()
+        self.conditions = HealthTracker()
         self.pools = Pools(self.clock)
         self.metrics = EntryMetrics()
         self.pulse = Pulse(self.clock, self.tasks, settings.bounds.thaw_ms)
@@ -265,8 +265,8 @@
             leaving=self.leaving,
             config_version=self.report_version(),
             store_heard=self.followed is not None and self.followed.reaches_store(),
-            work_by_server=self.in_flight.by_server,
-            spent_by_service=self.budget.all_spent(self.clock.now_ms()),
+            work_by_server=self.in_flight.work_by_server,
+            spent_by_service=self.budget.usage_by_service(self.clock.now_ms()),
             left_servers=self.beliefs.recent_left(),
             versions=self.beliefs.recent_versions(),
             claims=claims,
@@ -284,7 +284,7 @@
     def _work_change(self) -> WorkChange:
         """Return what has changed of this node's work since this was last asked."""
         self._sequence += 1
-        changed = self.in_flight.take_changed()
+        changed = self.in_flight.pop_changed()
         return WorkChange(self.settings.name, self.boot, self._sequence, changed)
 
     def _look_for_servers(self) -> None:
@@ -316,7 +316,7 @@
         beliefs, now_ms = self.beliefs, self.clock.now_ms
         of("ready", "Whether callers should come here.", lambda: float(self.ready()))
         of("config_version", "Configuration in force.", lambda: self.report_version())
-        of("servers", "Backend servers known.", lambda: len(beliefs.book.by_life))
+        of("servers", "Backend servers known.", lambda: len(beliefs.book.server_by_life))
         of("peers", "Other nodes heard.", lambda: len(self.view.reports(now_ms())))
         of(
             "callers_named",
@@ -443,7 +443,7 @@
             self.reload()
             self.pools.sweep()
             self.followed.servers.look_again()
-            for life in self.beliefs.book.settle(self.clock.now_ms()):
+            for life in self.beliefs.book.pop_removed(self.clock.now_ms()):
                 self.duties.residency.forget(life)
                 self.pools.forget(life)
                 self.conditions.forget(life)
--- a/monsoonflow/entry/duties.py
+++ b/monsoonflow/entry/duties.py
@@ -16,8 +16,8 @@
 from ..placement.desk import Desk
 from ..placement.seats import SeatState, Step
 from ..placement.waiting import NoPlace, Placed, Waiter
-from ..routing.crowded import CrowdedRunners, crowded_runners
-from ..routing.in_flight import ServerWork, joined
+from ..routing.in_flight import ServerWork, sum_work
+from ..routing.overload import OverloadedRunners, overloaded_runners
 from ..routing.routes import Service
 from ..storage.models import ChangedRow
 from ..transport.models import Request
@@ -177,7 +177,7 @@
             for held in duty.own_word.of(duty.desk)
         )
 
-    def crowded(self) -> CrowdedRunners | None:
+    def crowded(self) -> OverloadedRunners | None:
         """Return the runners of this node's duties with long queues, for the others.
 
         As of the last plan: to add up all nodes' work once more for each report costs as much as a
@@ -187,7 +187,7 @@
             return None
         now_ms = self._daemon.clock.now_ms()
         pace = self._daemon.backlog.pace.tokens_per_ms(None, now_ms)
-        return crowded_runners(self._planned_work, pace)
+        return overloaded_runners(self._planned_work, pace)
 
     def doubt(self, life: ServerLife, adapter: str) -> None:
         """Take that a runner lacks an adapter: what its desk believes of it is looked at again."""
@@ -333,7 +333,7 @@
                 now_ms,
             )
         desk = duty.desk
-        present = {s.life for s in self._daemon.beliefs.book.of_service(duty.service.name)}
+        present = {s.life for s in self._daemon.beliefs.book.servers_of(duty.service.name)}
         for life in present - desk.runners.keys():
             desk.came(
                 life, self.residency.history(life), self._daemon.beliefs.book.restarted_ms(life)
@@ -367,7 +367,7 @@
     ) -> None:
         """Log how full the runners' seats are: the first question when requests wait."""
         seats = [seat for runner in desk.runners.values() for seat in runner.seats.values()]
-        used = {(life, name) for life, w in work.items() for name in w.by_adapter}
+        used = {(life, name) for life, w in work.items() for name in w.requests_by_adapter}
         in_use = sum(
             (runner.life, name) in used for runner in desk.runners.values() for name in runner.seats
         )
@@ -386,7 +386,9 @@
                 waiting=len(desk.waiters),
                 oldest_ms=now_ms - min((w.since_ms for w in desk.waiters), default=now_ms),
                 requests=sum(w.requests for sid, w in work.items() if sid in desk.runners),
-                unread=sum(w.unread_tokens for sid, w in work.items() if sid in desk.runners),
+                unread=sum(
+                    w.pending_prefill_tokens for sid, w in work.items() if sid in desk.runners
+                ),
                 loads=desk.loads,
                 cold=desk.cold_loads,
                 copies=desk.copies,
@@ -396,14 +398,14 @@
         )
 
     def _report(self, duty: Duty, desk: Desk, life: ServerLife) -> None:
-        server = self._daemon.beliefs.book.by_life.get(life)
+        server = self._daemon.beliefs.book.server_by_life.get(life)
         report = self._control.report(life, server.address) if server is not None else None
         if isinstance(report, Gone):
             self._gone(desk, life)
             return
         now_ms = self._daemon.clock.now_ms()
         book = self._daemon.beliefs.book
-        if report is not None and not book.heard_itself(report.life, report.models, now_ms):
+        if report is not None and not book.confirm_life(report.life, report.models, now_ms):
             # Another life speaks: the one that is known, or one before it, is no more.
             report = None
         desk.reported(life, report, now_ms)
@@ -412,7 +414,7 @@
 
     def _order(self, duty: Duty, desk: Desk, step: Step) -> None:
         daemon = self._daemon
-        server = daemon.beliefs.book.by_life.get(step.life)
+        server = daemon.beliefs.book.server_by_life.get(step.life)
         if server is None or desk is not duty.desk:
             return
         # Looked at once more right before the send: the duty may have lapsed since the plan.
@@ -458,7 +460,9 @@
     def _gone(self, desk: Desk, life: ServerLife) -> None:
         """Take that another server answers at a runner's address."""
         beliefs = self._daemon.beliefs
-        beliefs.book.left(life, self._daemon.clock.now_ms(), "another server at its address")
+        beliefs.book.mark_leaving(
+            life, self._daemon.clock.now_ms(), "another server at its address"
+        )
         desk.gone(life)
 
     def _take_told(self, now_ms: int) -> None:
@@ -473,4 +477,4 @@
     def _work(self) -> dict[ServerLife, ServerWork]:
         """Return what all nodes have in progress by server, to be read at once."""
         others = self._daemon.view.work_by_server(self._daemon.clock.now_ms())
-        return joined(others, self._daemon.in_flight.by_server)
+        return sum_work(others, self._daemon.in_flight.work_by_server)
--- a/monsoonflow/entry/following.py
+++ b/monsoonflow/entry/following.py
@@ -271,7 +271,7 @@
 
         Who watches follows from who is heard, so that a silent one is replaced without a word.
         """
-        if self._beliefs.book.doubts():
+        if self._beliefs.book.has_missing():
             return DOUBTED_PAUSE_MS
         now_ms = self._clock.now_ms()
         shared_ms = self._shared(pause_ms)
@@ -357,17 +357,17 @@
         now_ms = self._clock.now_ms()
         book = self._beliefs.book
         before = book.life_of(row.key)
-        took_work = before is not None and book.takes_work(before)
+        took_work = before is not None and book.is_accepting_work(before)
         if row.body is None:
-            book.removed(row.key, now_ms)
+            book.remove(row.key, now_ms)
         else:
             server = self._decoders.server(row.key, row.body)
             if isinstance(server, str):
-                book.unreadable(row.key, server)
+                book.mark_unreadable(row.key, server)
             else:
                 book.put(server, now_ms, row.version)
         # Told once: a server that leaves writes its entry every second for many more.
-        if took_work and not book.takes_work(before):
+        if took_work and not book.is_accepting_work(before):
             self._on_server_gone(before)
             self._on_news()
             self._on_left()
@@ -380,12 +380,12 @@
         if self._followed.servers.out_ms < LAPSING_MS:
             return
         until_ms = max(ms for ms in unanswered_ms if ms is not None) + MISSING_GRACE_MS
-        self._beliefs.book.doubt_missing_until(until_ms)
+        self._beliefs.book.keep_missing_until(until_ms)
         self._tasks.spawn(self._drop_missing, until_ms)
 
     def _drop_missing(self, until_ms: int) -> None:
         self._tasks.sleep(max(0, until_ms - self._clock.now_ms()))
-        if self._beliefs.book.drop_missing(self._clock.now_ms()):
+        if self._beliefs.book.remove_missing(self._clock.now_ms()):
             self._on_news()
             self._on_left()
 
--- a/monsoonflow/entry/placing.py
+++ b/monsoonflow/entry/placing.py
@@ -80,7 +80,7 @@
         held = daemon.duties.residency.holders(adapter)
         now_ms = daemon.clock.now_ms()
         for life in list(held):
-            server = daemon.beliefs.book.by_life.get(life)
+            server = daemon.beliefs.book.server_by_life.get(life)
             claim = daemon.view.claim_of(server.service) if server is not None else None
             if claim is None or claim.holder == daemon.settings.name:
                 continue
@@ -179,16 +179,16 @@
         one in nine of the most urgent kind left unanswered in a rush, and was not told when to come
         back.
         """
-        if route.first_event_by_ms is None:
+        if route.first_event_timeout_ms is None:
             return job.until_ms
-        answer_ms = self._daemon.gateway.first_event_pace.expect_ms(call.prompt_tokens)
-        leaves_ms = job.request.arrived_ms + route.first_event_by_ms
+        answer_ms = self._daemon.gateway.first_event_pace.expected_ms(call.prompt_tokens)
+        leaves_ms = job.request.arrived_ms + route.first_event_timeout_ms
         return min(leaves_ms, job.taken_back_ms()) - answer_ms
 
     def _chosen(self, call: Call, job: Job, placed: Placed) -> Chosen | None:
         book = self._daemon.beliefs.book
-        server = book.by_life.get(placed.life)
-        if server is None or not book.takes_work(placed.life):
+        server = book.server_by_life.get(placed.life)
+        if server is None or not book.is_accepting_work(placed.life):
             return None
         if self._is_over(call.adapter or "", placed.version):
             return None
@@ -205,7 +205,7 @@
         """Return a runner that was heard to hold the adapter while nobody answered."""
         held = self.holders(call.adapter or "")
         now_ms = self._daemon.clock.now_ms()
-        for server in self._daemon.beliefs.book.of_service(service.name):
+        for server in self._daemon.beliefs.book.servers_of(service.name):
             if server.life not in held or server.life in job.avoided:
                 continue
             if self._daemon.backlog.in_time(server.life, job, now_ms):
@@ -214,7 +214,7 @@
 
     def _others(self, service: Service, crowded: Collection[ServerLife]) -> bool:
         """Tell whether there are runners beside the crowded ones."""
-        runners = self._daemon.beliefs.book.of_service(service.name)
+        runners = self._daemon.beliefs.book.servers_of(service.name)
         return any(server.life not in crowded for server in runners)
 
     def _question(
@@ -228,7 +228,7 @@
     ) -> dict[str, Any]:
         now_ms = self._daemon.clock.now_ms()
         read_ms = None if job.resuming() else Backlog.patience_ms(job, now_ms)
-        answer_ms = self._daemon.gateway.first_event_pace.expect_ms(call.prompt_tokens)
+        answer_ms = self._daemon.gateway.first_event_pace.expected_ms(call.prompt_tokens)
         on_time_ms = job.on_time_until_ms() - answer_ms - now_ms
         priority = route.priority
         if job.resuming():
@@ -286,8 +286,8 @@
         :param crowded: to be avoided in any case: it can't be served there.
         """
         now_ms = self._daemon.clock.now_ms()
-        runners = [s.life for s in self._daemon.beliefs.book.of_service(service.name)]
-        paused = [s for s in runners if self._daemon.conditions.paused(s, now_ms)]
+        runners = [s.life for s in self._daemon.beliefs.book.servers_of(service.name)]
+        paused = [s for s in runners if self._daemon.conditions.is_paused(s, now_ms)]
         avoided = {*job.avoided, *paused, *crowded}
         return sorted(avoided if set(runners) - avoided else crowded)
 
--- a/monsoonflow/fleet/codec.py
+++ b/monsoonflow/fleet/codec.py
@@ -12,9 +12,9 @@
 from ..core.adapter import AdapterRef
 from ..core.server_life import ServerLife
 from ..quarantine.models import Ending
-from ..routing.budget import Spent
-from ..routing.crowded import CrowdedRunners
+from ..routing.budget import RetryUsage
 from ..routing.in_flight import ServerWork
+from ..routing.overload import OverloadedRunners
 from .models import (
     DutyClaim,
     Heard,
@@ -187,12 +187,15 @@
     )
 
 
-def _spent_fields(spent_by_service: dict[str, Spent]) -> dict[str, list[int]]:
-    return {service: [spent.firsts, spent.retries] for service, spent in spent_by_service.items()}
+def _spent_fields(spent_by_service: dict[str, RetryUsage]) -> dict[str, list[int]]:
+    return {
+        service: [spent.first_attempts, spent.retries]
+        for service, spent in spent_by_service.items()
+    }
 
 
-def _spent(fields: dict[str, Any]) -> dict[str, Spent]:
-    return {service: Spent(*spent) for service, spent in fields.items()}
+def _spent(fields: dict[str, Any]) -> dict[str, RetryUsage]:
+    return {service: RetryUsage(*spent) for service, spent in fields.items()}
 
 
 def _memory_fields(memory: RetryMemory) -> list[Any]:
@@ -217,13 +220,13 @@
     return tuple(Heard(str(name), str(boot), int(sequence)) for name, boot, sequence in entries)
 
 
-def _crowded_fields(crowded: CrowdedRunners | None) -> dict[str, Any] | None:
+def _crowded_fields(crowded: OverloadedRunners | None) -> dict[str, Any] | None:
     if crowded is None:
         return None
     return {str(life): list(ranks.items()) for life, ranks in crowded.items()}
 
 
-def _crowded(fields: dict[str, Any] | None) -> CrowdedRunners | None:
+def _crowded(fields: dict[str, Any] | None) -> OverloadedRunners | None:
     if fields is None:
         return None
     return {
@@ -233,8 +236,13 @@
 
 
 def _work_fields(work: ServerWork) -> list[Any]:
-    fields = [work.requests, work.unread_tokens, work.memory_tokens, work.by_adapter]
-    ranks = [[rank, tokens] for rank, tokens in work.unread_by_rank.items()]
+    fields = [
+        work.requests,
+        work.pending_prefill_tokens,
+        work.memory_tokens,
+        work.requests_by_adapter,
+    ]
+    ranks = [[rank, tokens] for rank, tokens in work.pending_prefill_by_rank.items()]
     return [*fields, ranks] if ranks else fields
 
 
--- a/monsoonflow/fleet/models.py
+++ b/monsoonflow/fleet/models.py
@@ -10,9 +10,9 @@
 from ..core.adapter import AdapterRef
 from ..core.server_life import ServerLife
 from ..quarantine.models import Ending
-from ..routing.budget import Spent
-from ..routing.crowded import CrowdedRunners
+from ..routing.budget import RetryUsage
 from ..routing.in_flight import ServerWork
+from ..routing.overload import OverloadedRunners
 
 USUAL_CORES: Final = 1.0
 """Taken for a machine that tells nothing, or nothing that could be meant."""
@@ -145,14 +145,14 @@
     config_version: int
     store_heard: bool
     work_by_server: dict[ServerLife, ServerWork] = attrs.Factory(dict)
-    spent_by_service: dict[str, Spent] = attrs.Factory(dict)
+    spent_by_service: dict[str, RetryUsage] = attrs.Factory(dict)
     left_servers: tuple[ServerLife, ...] = ()
     versions: tuple[NamedVersion, ...] = ()
     claims: tuple[DutyClaim, ...] = ()
     residency: tuple[HeldAdapters, ...] | None = ()
     heard: tuple[Heard, ...] = ()
     came_servers: tuple[ServerLife, ...] = ()
-    crowded: CrowdedRunners | None = None
+    crowded: OverloadedRunners | None = None
     lag_ms: int = 0
     active: bool = True
     retries: RetryMemory = RetryMemory()
@@ -202,7 +202,7 @@
     lag_ms: int = 0
     claims: tuple[DutyClaim, ...] = ()
     heard: tuple[Heard, ...] = ()
-    spent_by_service: dict[str, Spent] = attrs.Factory(dict)
+    spent_by_service: dict[str, RetryUsage] = attrs.Factory(dict)
     card: NodeCard | None = None
     quarantined: tuple[str, ...] = ()
 
--- a/monsoonflow/fleet/view.py
+++ b/monsoonflow/fleet/view.py
@@ -11,8 +11,8 @@
 
 from ..core.server_life import ServerLife
 from ..logs import events, log
-from ..routing.crowded import CrowdedRunners
 from ..routing.in_flight import ServerWork
+from ..routing.overload import OverloadedRunners
 from .ended import EndedProcesses
 from .models import (
     USUAL_CORES,
@@ -373,7 +373,7 @@
         """Return what the other nodes have in progress at a server; it is not to be changed."""
         return self.work_by_server(now_ms).get(life) or ServerWork()
 
-    def crowded(self, cell: str, now_ms: int) -> CrowdedRunners | None:
+    def crowded(self, cell: str, now_ms: int) -> OverloadedRunners | None:
         """Return the runners with long queues, by the fresh word of their cell's holder."""
         claim = self._epoch_by_cell.get(cell)
         heard = self._heard_by_name.get(claim.holder) if claim is not None else None
--- a/monsoonflow/fleet/work_sum.py
+++ b/monsoonflow/fleet/work_sum.py
@@ -33,7 +33,7 @@
     >>> total.take("a", {ServerLife("i-1"): ServerWork(2, 90)}, at_ms=0)
     >>> total.take("b", {ServerLife("i-1"): ServerWork(1, 10)}, at_ms=5)
     >>> total.take("b", {ServerLife("i-1"): ServerWork(3, 20)}, at_ms=9)
-    >>> total.by_server["i-1"].requests, total.by_server["i-1"].unread_tokens
+    >>> total.by_server["i-1"].requests, total.by_server["i-1"].pending_prefill_tokens
     (5, 110)
     >>> total.drop_before(6)
     >>> total.by_server["i-1"].requests
@@ -76,7 +76,7 @@
         whole = dict(share.work_by_server) if share is not None else {}
         for life, work in work_by_server.items():
             self._replace(life, whole.pop(life, None), work)
-            if not work.is_nothing():
+            if not work.is_empty():
                 whole[life] = work
         self._share_by_node[node] = _Share(at_ms, whole)
         return whole
@@ -84,9 +84,9 @@
     def _replace(self, life: ServerLife, before: ServerWork | None, work: ServerWork) -> None:
         total = self.by_server.setdefault(life, ServerWork())
         if before is not None:
-            total.remove(before)
+            total.subtract(before)
         total.add(work)
-        if total.is_nothing():
+        if total.is_empty():
             del self.by_server[life]
 
     def drop(self, node: str) -> None:
@@ -99,8 +99,8 @@
             if total is None:
                 # A share without any work: nothing was left to keep a total for.
                 continue
-            total.remove(work)
-            if total.is_nothing():
+            total.subtract(work)
+            if total.is_empty():
                 del self.by_server[life]
 
     def drop_before(self, at_ms: int) -> None:
--- a/monsoonflow/gateway/backlog.py
+++ b/monsoonflow/gateway/backlog.py
@@ -9,10 +9,10 @@
 
 from ..core.server_life import ServerLife
 from ..fleet.view import FleetView
-from ..routing.crowded import as_told
 from ..routing.in_flight import InFlight, ServerWork
-from ..routing.lately_sent import LatelySent
-from ..routing.reading import LEAST_DRAIN_MS, ReadingPace
+from ..routing.overload import apply_holder_report
+from ..routing.prefill_rate import MIN_DRAIN_MS, PrefillRate
+from ..routing.recently_sent import RecentlySent
 from .job import Job
 from .models import Chosen, QueueAhead
 
@@ -31,21 +31,21 @@
 
     in_flight: InFlight
     view: FleetView
-    pace: ReadingPace = attrs.Factory(ReadingPace)
-    lately_sent: LatelySent = attrs.Factory(lambda: LatelySent(UNTOLD_MS))
+    pace: PrefillRate = attrs.Factory(PrefillRate)
+    lately_sent: RecentlySent = attrs.Factory(lambda: RecentlySent(UNTOLD_MS))
 
     def work_at(self, life: ServerLife, cell: str, now_ms: int) -> ServerWork:
         """Return what all nodes have in progress at a runner of a cell."""
         total = ServerWork()
         total.add(self.view.work_at(life, now_ms))
-        own = self.in_flight.at(life)
+        own = self.in_flight.work_at(life)
         total.add(own)
         crowded = self.view.crowded(cell, now_ms)
         if crowded is None:
             return total
         pace = self.pace.tokens_per_ms(None, now_ms)
         lately_sent = self.lately_sent.tokens(life, now_ms)
-        return as_told(total, own, crowded.get(life), lately_sent, pace)
+        return apply_holder_report(total, own, crowded.get(life), lately_sent, pace)
 
     def sent(self, chosen: Chosen, now_ms: int) -> None:
         """Take that a request goes to a runner."""
@@ -54,8 +54,10 @@
 
     def ahead(self, life: ServerLife, job: Job, now_ms: int) -> QueueAhead:
         """Return what a request would wait for at a runner."""
-        unread = self.work_at(life, job.service.name, now_ms).unread_ahead(job.rank_at(now_ms))
-        expect_ms = self.pace.expect_ms(life, unread + job.call.prompt_tokens, now_ms)
+        unread = self.work_at(life, job.service.name, now_ms).pending_prefill_ahead(
+            job.rank_at(now_ms)
+        )
+        expect_ms = self.pace.expected_ms(life, unread + job.call.prompt_tokens, now_ms)
         return QueueAhead(unread, expect_ms)
 
     def in_time(
@@ -93,19 +95,19 @@
         """Return in how long one of some runners would read such a request in time."""
         left_ms = self.patience_ms(job, now_ms)
         waits = [self.ahead(life, job, now_ms).expect_ms - left_ms for life in lives]
-        return max(LEAST_DRAIN_MS, min(waits, default=0))
+        return max(MIN_DRAIN_MS, min(waits, default=0))
 
     def first_event(self, chosen: Chosen, took_ms: int, now_ms: int) -> None:
         """Take how long a request waited for its first event."""
         if chosen.queue is not None:
             tokens = chosen.queue.unread_tokens + chosen.unread_tokens
-            self.pace.observed(chosen.life, tokens, chosen.unread_tokens, took_ms, now_ms)
+            self.pace.record(chosen.life, tokens, chosen.unread_tokens, took_ms, now_ms)
 
     def no_first_event(self, chosen: Chosen, waited_ms: int, now_ms: int) -> None:
         """Take that a request waited in vain for its first event."""
         if chosen.queue is not None:
             tokens = chosen.queue.unread_tokens + chosen.unread_tokens
-            self.pace.unread(chosen.life, tokens, chosen.unread_tokens, waited_ms, now_ms)
+            self.pace.record_overdue(chosen.life, tokens, chosen.unread_tokens, waited_ms, now_ms)
 
     def forget(self, life: ServerLife) -> None:
         """Drop a runner that is gone."""
--- a/monsoonflow/gateway/budget.py
+++ b/monsoonflow/gateway/budget.py
@@ -8,7 +8,7 @@
 from ..fleet.models import NodeReport, RetryMemory
 from ..fleet.rounds import EVERY_MS
 from ..fleet.view import FleetView, Word
-from ..routing.budget import FleetRetryBudget, Headroom, OthersSpent, Spent
+from ..routing.budget import FleetRetryBudget, Headroom, PeerRetryUsage, RetryUsage
 
 
 class SharedRetries:
@@ -31,25 +31,25 @@
 
     def first(self, service: str) -> None:
         """Count a request for a service."""
-        self._budget.first(service, self._clock.now_ms())
+        self._budget.record_first_attempt(service, self._clock.now_ms())
 
     def may_retry(self, service: str) -> Headroom:
         """Return whether the budget allows one more arrival, and keep a place for it if so."""
         now_ms = self._clock.now_ms()
         headroom = self._budget.headroom(service, self.others(service), now_ms)
-        if headroom.allowed:
-            self._budget.granted(service, now_ms)
+        if headroom.is_allowed:
+            self._budget.grant_retry(service, now_ms)
         return headroom
 
     def sent(self, service: str) -> None:
         """Count a further try that was allowed: it goes to a server now."""
-        self._budget.sent(service, self._clock.now_ms())
+        self._budget.record_sent_retry(service, self._clock.now_ms())
 
     def unused(self, service: str) -> None:
         """Give back a further try that was allowed and will not be sent."""
-        self._budget.unused(service)
+        self._budget.cancel_retry(service)
 
-    def others(self, service: str) -> OthersSpent:
+    def others(self, service: str) -> PeerRetryUsage:
         """Return what the other nodes have spent of a service's budget."""
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
@@ -68,17 +68,17 @@
         told_past = [memory.past_by_service.get(service, 0) for memory in memories]
         heard = {word.report.name for word in words}
         sharers = {view.name, *view.card_by_name, *heard} - {report.name for report in idle}
-        return OthersSpent(
-            told=tuple(
-                [report.spent_by_service.get(service, Spent()) for report in (*active, *idle)]
+        return PeerRetryUsage(
+            reported=tuple(
+                [report.spent_by_service.get(service, RetryUsage()) for report in (*active, *idle)]
             ),
-            sharers=len(sharers),
-            counted=1 + len(active),
-            past=_retries(service, silent) + max([_retries(service, ended), *told_past]),
-            ended=max([len(_cut_short(ended)), *(memory.ended for memory in memories)]),
-            entitled=self._active()
-            and (self._budget.counts_ms(now_ms) >= window_ms or bool(memories)),
-            age_ms=active_ms + EVERY_MS,
+            sharing_nodes=len(sharers),
+            connected_nodes=1 + len(active),
+            past_retries=_retries(service, silent) + max([_retries(service, ended), *told_past]),
+            ended_processes=max([len(_cut_short(ended)), *(memory.ended for memory in memories)]),
+            is_entitled=self._active()
+            and (self._budget.counted_ms(now_ms) >= window_ms or bool(memories)),
+            max_heartbeat_age_ms=active_ms + EVERY_MS,
         )
 
     def memory(self) -> RetryMemory:
@@ -93,7 +93,7 @@
         ended = view.ended(window_ms, now_ms)
         services = {service for report in ended for service in report.spent_by_service}
         return RetryMemory(
-            counts_ms=self._budget.counts_ms(now_ms),
+            counts_ms=self._budget.counted_ms(now_ms),
             hears=frozenset(view.active_within(view.word_fades_ms(active=True), now_ms)),
             past_by_service={service: _retries(service, ended) for service in services},
             ended=len(_cut_short(ended)),
@@ -110,7 +110,7 @@
 
 
 def _retries(service: str, reports: list[NodeReport]) -> int:
-    return sum(report.spent_by_service.get(service, Spent()).retries for report in reports)
+    return sum(report.spent_by_service.get(service, RetryUsage()).retries for report in reports)
 
 
 def _cut_short(ended: list[NodeReport]) -> list[NodeReport]:
--- a/monsoonflow/gateway/engines.py
+++ b/monsoonflow/gateway/engines.py
@@ -10,9 +10,9 @@
 
 from ..core.clock import Clock
 from ..core.server_life import ServerLife
-from ..discovery.book import ServerBook
 from ..discovery.models import BackendServer
-from ..routing.condition import Conditions
+from ..discovery.registry import ServerRegistry
+from ..routing.health import HealthTracker
 from ..routing.routes import Route, Service
 from .backlog import Backlog
 from .job import Job
@@ -76,9 +76,9 @@
 class EngineChooser:
     """Picks a runner for a generation."""
 
-    book: ServerBook
+    book: ServerRegistry
     backlog: Backlog
-    conditions: Conditions
+    conditions: HealthTracker
     placement: Placement
     clock: Clock
     rng: random.Random
@@ -122,11 +122,11 @@
     ) -> list[BackendServer]:
         servers = [
             server
-            for server in self.book.of_service(service.name)
+            for server in self.book.servers_of(service.name)
             # The holder's word on an adapter is newer than the entry's on the base model.
             if server.life in held or any(model.name == call.model for model in server.models)
         ]
-        reached = [s for s in servers if not self.conditions.paused(s.life, now_ms)]
+        reached = [s for s in servers if not self.conditions.is_paused(s.life, now_ms)]
         # A stream that broke off goes on elsewhere: where it broke it would break again.
         fresh = [s for s in reached if s.life not in job.avoided]
         return fresh or reached or servers
@@ -154,7 +154,7 @@
 
         A backlog is no sign of hanging: where much is to be read, all the time.
         """
-        server = self.book.by_life.get(chosen.life)
+        server = self.book.server_by_life.get(chosen.life)
         if server is None or self._waiting(server, self.clock.now_ms()) > BACKLOG_TOKENS:
             return UNBOUNDED_MS
         return route.objective_ms * HANG_TIMES
@@ -167,41 +167,41 @@
 
     def may_send(self, chosen: Chosen) -> bool:
         """Tell whether a server that was chosen still takes work."""
-        return self.book.takes_work(chosen.life)
+        return self.book.is_accepting_work(chosen.life)
 
     def sent(self, chosen: Chosen, request: str, route: Route, now_ms: int) -> None:
         """Take that a request goes out to its server."""
         queue_ms = chosen.queue.expect_ms if chosen.queue is not None else 0
         sign_within_ms = int(route.objective_ms * HANG_TIMES + queue_ms)
-        self.conditions.sent(chosen.life, request, now_ms, sign_within_ms)
+        self.conditions.record_sent(chosen.life, request, now_ms, sign_within_ms)
 
     def alive(self, chosen: Chosen, now_ms: int) -> None:
         """Take a part of an answer of a server."""
-        self.conditions.alive(chosen.life, now_ms)
+        self.conditions.record_response(chosen.life, now_ms)
 
     def ended(self, chosen: Chosen, request: str, result: Try, took_ms: int, now_ms: int) -> None:
         """Take how a try ended."""
-        self.conditions.waits_no_longer(chosen.life, request, now_ms)
+        self.conditions.record_finished(chosen.life, request, now_ms)
         match result:
             case Passed():
-                self.conditions.ended(chosen.life, True, took_ms, now_ms)
+                self.conditions.record_result(chosen.life, True, took_ms, now_ms)
             case Whole(head=head):
-                self.conditions.ended(chosen.life, head.status < 500, took_ms, now_ms)
+                self.conditions.record_result(chosen.life, head.status < 500, took_ms, now_ms)
             case Rejected(moved=True) if chosen.adapter is not None:
                 self.placement.missing(chosen.adapter, chosen.life)
             case Unsent():
-                self.conditions.unreached(chosen.life, now_ms)
+                self.conditions.record_unreachable(chosen.life, now_ms)
             case Unclear(silent=True) | Cut(silent=True):
-                self.conditions.unreached(chosen.life, now_ms)
+                self.conditions.record_unreachable(chosen.life, now_ms)
             case Unclear() | Cut() | TimedOut(silent=True) | Abandoned(silent=True) | Rejected():
-                self.conditions.ended(chosen.life, False, took_ms, now_ms)
+                self.conditions.record_result(chosen.life, False, took_ms, now_ms)
 
     def _cost(self, server: BackendServer, now_ms: int) -> float:
         work = self.backlog.work_at(server.life, server.service, now_ms)
-        running, waiting = work.requests, work.unread_tokens
+        running, waiting = work.requests, work.pending_prefill_tokens
         success = 1.0 - self.conditions.failure_share(server.life, now_ms)
         return (waiting + REQUEST_TOKENS * (running + 1)) / max(0.1, success) + self.rng.random()
 
     def _waiting(self, server: BackendServer, now_ms: int) -> int:
         """Return the prompt tokens that are still to be read at a runner."""
-        return self.backlog.work_at(server.life, server.service, now_ms).unread_tokens
+        return self.backlog.work_at(server.life, server.service, now_ms).pending_prefill_tokens
--- a/monsoonflow/gateway/handler.py
+++ b/monsoonflow/gateway/handler.py
@@ -9,9 +9,9 @@
 from ..core.clock import Clock
 from ..quarantine.fingerprint import fingerprint
 from ..quarantine.models import Turn
-from ..routing.first_event import FirstEventPace
+from ..routing.caller_timeouts import TypicalCallerTimeouts
+from ..routing.first_event import FirstEventEstimator
 from ..routing.in_flight import InFlight, Ticket
-from ..routing.patience import UsualDeadlines
 from ..routing.routes import Route, RouteKind, RouteTable, Service
 from ..transport.client import Pools
 from ..transport.models import CallerLeft, Header, Request
@@ -91,8 +91,8 @@
         self._engines = engines
         self._rng = rng
         self._record = record
-        self._usual_deadlines = UsualDeadlines()
-        self.first_event_pace = FirstEventPace()
+        self._usual_deadlines = TypicalCallerTimeouts()
+        self.first_event_pace = FirstEventEstimator()
         self.takes_requests = True
 
     def handle(self, request: Request, reply: Reply) -> None:
@@ -133,7 +133,9 @@
         waits_ms = call.deadline_ms if call.deadline_ms is not None else route.timeout_ms
         deadline_at_ms = request.arrived_ms + waits_ms
         until_ms = min(deadline_at_ms, request.arrived_ms + route.timeout_ms) - ANSWER_EARLY_MS
-        since_ms = request.arrived_ms - self._usual_deadlines.waited_ms(route.name, waits_ms)
+        since_ms = request.arrived_ms - self._usual_deadlines.estimate_waited_ms(
+            route.name, waits_ms
+        )
         same = fingerprint(request.method, call.host, request.target, request.body)
         job = Job(request, call, route, service, since_ms, until_ms, deadline_at_ms, same)
         if route.kind is RouteKind.STREAM:
@@ -217,7 +219,9 @@
         finally:
             if result is None:
                 waited_ms = self._clock.now_ms() - sent_ms
-                result = Abandoned(ticket.unread and waited_ms > job.route.objective_ms * 2)
+                result = Abandoned(
+                    ticket.is_awaiting_first_event and waited_ms > job.route.objective_ms * 2
+                )
             self._end_turn(job)
             self._finish_try(job, ticket, chooser, chosen, result, sent_ms)
 
@@ -242,7 +246,7 @@
         that may run again is tried elsewhere once the server is far beyond its usual time.
         """
         until_ms = job.until_ms if job.resuming() else job.taken_back_ms()
-        if not job.route.repeatable or job.runs + 1 >= job.route.attempts:
+        if not job.route.is_repeatable or job.runs + 1 >= job.route.max_attempts:
             return until_ms
         return min(until_ms, now_ms + chooser.patience_ms(chosen, job.route))
 
@@ -256,20 +260,20 @@
         sent_ms: int,
     ) -> None:
         now_ms = self._clock.now_ms()
-        if ticket.unread and isinstance(result, Abandoned | TimedOut | Recalled):
+        if ticket.is_awaiting_first_event and isinstance(result, Abandoned | TimedOut | Recalled):
             self._backlog.no_first_event(chosen, now_ms - sent_ms, now_ms)
         self._in_flight.end(ticket)
         chooser.ended(chosen, job.call.request_id, result, now_ms - sent_ms, now_ms)
         self._record.tried(result)
 
     def _first_event(self, job: Job, chosen: Chosen, ticket: Ticket) -> None:
-        self._in_flight.first_event(ticket)
+        self._in_flight.record_first_event(ticket)
         now_ms = self._clock.now_ms()
         took_ms = now_ms - ticket.sent_ms
         self._backlog.first_event(chosen, took_ms, now_ms)
         if job.first_ms is None:
             job.first_ms = now_ms
-            self.first_event_pace.observed(job.call.prompt_tokens, took_ms)
+            self.first_event_pace.record(job.call.prompt_tokens, took_ms)
 
     def _head(self, job: Job, chosen: Chosen) -> bytes:
         onward = self._onward(job, chosen, self._clock.now_ms())
@@ -408,9 +412,9 @@
         if job.until_ms - self._clock.now_ms() < MIN_SEND_MS:
             return False
         job.headroom = self._retries.may_retry(job.service.name)
-        job.retry_granted = job.headroom.allowed
-        self._record.wanted_again(job.headroom.allowed)
-        return job.headroom.allowed
+        job.retry_granted = job.headroom.is_allowed
+        self._record.wanted_again(job.headroom.is_allowed)
+        return job.headroom.is_allowed
 
     def _time_over(self, job: Job, reply: Reply) -> None:
         if job.may_have_run and not reply.started:
--- a/monsoonflow/gateway/job.py
+++ b/monsoonflow/gateway/job.py
@@ -73,14 +73,14 @@
 
         Callers of a stream leave long before their deadline when nothing comes.
         """
-        if self.route.first_event_by_ms is None:
+        if self.route.first_event_timeout_ms is None:
             return self.until_ms
-        return min(self.until_ms, self.request.arrived_ms + self.route.first_event_by_ms)
+        return min(self.until_ms, self.request.arrived_ms + self.route.first_event_timeout_ms)
 
     def taken_back_ms(self) -> int:
         """Return when the request is given up where its first event has not come by then."""
         leaves_ms = self.first_event_until_ms()
-        if self.route.first_event_by_ms is None or leaves_ms >= self.until_ms:
+        if self.route.first_event_timeout_ms is None or leaves_ms >= self.until_ms:
             return self.until_ms
         return leaves_ms - NOTICE_MS
 
@@ -101,4 +101,4 @@
 
     def may_run_again(self) -> bool:
         """Tell whether another server may run it, by its kind and the route's attempts."""
-        return self.route.repeatable and self.runs < self.route.attempts
+        return self.route.is_repeatable and self.runs < self.route.max_attempts
--- a/monsoonflow/gateway/plain.py
+++ b/monsoonflow/gateway/plain.py
@@ -7,10 +7,10 @@
 
 import attrs
 
-from ..discovery.book import ServerBook
 from ..discovery.models import BackendServer
+from ..discovery.registry import ServerRegistry
 from ..fleet.view import FleetView
-from ..routing.condition import Conditions
+from ..routing.health import HealthTracker
 from ..routing.in_flight import InFlight
 from ..routing.routes import Route, Service
 from .job import Job
@@ -44,10 +44,10 @@
     requests end tells.
     """
 
-    book: ServerBook
+    book: ServerRegistry
     in_flight: InFlight
     view: FleetView
-    conditions: Conditions
+    conditions: HealthTracker
     rng: random.Random
     data_centre: str
 
@@ -55,8 +55,8 @@
         self, call: Call, route: Route, service: Service, job: Job, now_ms: int
     ) -> Chosen | NoServer:
         """Return the server with the least expected time to a good answer."""
-        servers = self.book.of_service(service.name)
-        reached = [s for s in servers if not self.conditions.paused(s.life, now_ms)]
+        servers = self.book.servers_of(service.name)
+        reached = [s for s in servers if not self.conditions.is_paused(s.life, now_ms)]
         fresh = [s for s in reached or servers if s.life not in job.tried]
         candidates = fresh or [s for s in servers if s.life not in job.avoided] or servers
         if not candidates:
@@ -82,42 +82,42 @@
 
     def may_send(self, chosen: Chosen) -> bool:
         """Tell whether a server that was chosen still takes work."""
-        return self.book.takes_work(chosen.life)
+        return self.book.is_accepting_work(chosen.life)
 
     def sent(self, chosen: Chosen, request: str, route: Route, now_ms: int) -> None:
         """Take that a request goes out to its server."""
         sign_within_ms = SILENT_TIMES * self.patience_ms(chosen, route)
-        self.conditions.sent(chosen.life, request, now_ms, sign_within_ms)
+        self.conditions.record_sent(chosen.life, request, now_ms, sign_within_ms)
 
     def alive(self, chosen: Chosen, now_ms: int) -> None:
         """Take a part of an answer of a server."""
-        self.conditions.alive(chosen.life, now_ms)
+        self.conditions.record_response(chosen.life, now_ms)
 
     def ended(self, chosen: Chosen, request: str, result: Try, took_ms: int, now_ms: int) -> None:
         """Take how a try ended."""
-        self.conditions.waits_no_longer(chosen.life, request, now_ms)
+        self.conditions.record_finished(chosen.life, request, now_ms)
         match result:
             case Whole(head=head):
-                self.conditions.ended(chosen.life, head.status < 500, took_ms, now_ms)
+                self.conditions.record_result(chosen.life, head.status < 500, took_ms, now_ms)
             case Unsent():
-                self.conditions.unreached(chosen.life, now_ms)
+                self.conditions.record_unreachable(chosen.life, now_ms)
             case Unclear(silent=True) | Cut(silent=True):
-                self.conditions.unreached(chosen.life, now_ms)
+                self.conditions.record_unreachable(chosen.life, now_ms)
             case Unclear() | Cut() | TimedOut() | Rejected(moved=False):
-                self.conditions.ended(chosen.life, False, took_ms, now_ms)
+                self.conditions.record_result(chosen.life, False, took_ms, now_ms)
 
     def _expected_ms(self, server: BackendServer, now_ms: int) -> float:
         busy = self._in_progress(server, now_ms)
-        rounds = max(1.0, (busy + 1) / max(1, server.slots))
+        rounds = max(1.0, (busy + 1) / max(1, server.max_concurrent_requests))
         usual_ms = self.conditions.latency_ms(server.life, USUAL_MS)
         success = 1.0 - self.conditions.failure_share(server.life, now_ms)
         # The share of a server that is not full also counts a little, so that equal servers share.
-        crowd = 1.0 + 0.1 * busy / max(1, server.slots)
+        crowd = 1.0 + 0.1 * busy / max(1, server.max_concurrent_requests)
         return usual_ms * rounds * crowd / max(MIN_SUCCESS, success) ** 2
 
     def _in_progress(self, server: BackendServer, now_ms: int) -> int:
-        own = self.in_flight.at(server.life).requests
+        own = self.in_flight.work_at(server.life).requests
         return own + self.view.work_at(server.life, now_ms).requests
 
     def _busy(self, server: BackendServer, now_ms: int) -> bool:
-        return self._in_progress(server, now_ms) >= server.slots
+        return self._in_progress(server, now_ms) >= server.max_concurrent_requests
--- a/monsoonflow/gateway/record.py
+++ b/monsoonflow/gateway/record.py
@@ -118,8 +118,8 @@
                 job.may_have_run,
                 again,
                 took_ms,
-                retries_known=headroom.known if headroom is not None else None,
-                retries_limit=round(headroom.limit) if headroom is not None else None,
+                retries_known=headroom.known_retries if headroom is not None else None,
+                retries_limit=round(headroom.retry_limit) if headroom is not None else None,
             ),
         )
 
--- a/monsoonflow/node/context.py
+++ b/monsoonflow/node/context.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from ..address.choice import NodeAddress
+from ..address.node_order import NodeAddress
 from ..backend.models import Engine
 from ..configuration.aggregate import Configuration
 from ..core.clock import Clock
@@ -21,9 +21,9 @@
 from ..placement.spread import SpreadTuning, runners_in_use
 from ..placement.store_share import StoreShare
 from ..report.burn import BurnCounter
-from ..routing.keys import KeyBook
+from ..routing.balancer import LeastCallsBalancer
+from ..routing.idempotency_keys import IdempotencyKeys
 from ..routing.limits import Admission, Limits, RetryBudget
-from ..routing.servers import ServerChoice
 from ..rpc.client import ControlCaller
 from ..runner.models import Weights
 from ..serving.core import ServingCore
@@ -103,9 +103,9 @@
         self.tuning = PlacementTuning()
         self.spread_tuning = SpreadTuning(settings["spread-fill"], settings["spread-stall-ms"])
         self.runners_in_use: dict[str, int] = {}
-        self.keys = KeyBook(settings["keep-keys-ms"], MAX_KEYS)
+        self.keys = IdempotencyKeys(settings["keep-keys-ms"], MAX_KEYS)
         self.retry_budget = RetryBudget(RETRY_SHARE, RETRY_RESERVE)
-        self.server_choice = ServerChoice(self.rng)
+        self.server_choice = LeastCallsBalancer(self.rng)
         self.served_by_id: dict[str, Served] = {}
         self.service_calls = 0
         self.table = edges.table
--- a/monsoonflow/node/driver.py
+++ b/monsoonflow/node/driver.py
@@ -46,8 +46,8 @@
     def start(self, served: Served, may_relay: bool) -> None:
         """Begin to drive a request."""
         self._context.served_by_id[served.request_id] = served
-        self._context.core.admission.began(served.life.terms.customer)
-        self._context.retry_budget.first_try()
+        self._context.core.admission.record_start(served.life.terms.customer)
+        self._context.retry_budget.record_first_attempt()
         self._context.tasks.spawn(self._drive, served, may_relay)
 
     def _drive(self, served: Served, may_relay: bool) -> None:
@@ -199,7 +199,7 @@
         if isinstance(step, Retry) and not life.ended:
             context.metrics.retries.inc()
             # A refusal cost the fleet next to nothing; only what may have run counts as load.
-            if life.may_have_run and not context.retry_budget.spend():
+            if life.may_have_run and not context.retry_budget.try_spend():
                 outcome = life.give_up("the retry budget is spent", 2_000)
                 step = End(outcome)
         step = context.core.step(served.request_id, step, run_over, context.now_ms())
@@ -246,10 +246,10 @@
         now_ms = context.now_ms()
         served.ended_ms = now_ms
         ran = not isinstance(outcome, NotRun)
-        context.core.admission.ended(life.terms.customer)
+        context.core.admission.record_end(life.terms.customer)
         context.core.forget(served.request_id)
         if served.key is not None:
-            context.keys.ended(life.terms.customer, served.key, now_ms, ran)
+            context.keys.record_end(life.terms.customer, served.key, now_ms, ran)
         context.metrics.chunks.inc(len(life.chunks))
         context.metrics.requests.labels(tag(outcome), str(life.terms.priority)).inc()
         self._count_burn(served)
--- a/monsoonflow/node/intake.py
+++ b/monsoonflow/node/intake.py
@@ -9,7 +9,7 @@
 import attrs
 import orjson
 
-from ..address.choice import order_nodes
+from ..address.node_order import order_nodes
 from ..core.adapter import AdapterRef
 from ..core.outcome import Failed, NotRun, Unknown
 from ..helpers.ids import new_id
@@ -17,7 +17,7 @@
 from ..request.life import RequestLife
 from ..request.models import Terms as LifeTerms
 from ..request.parse import Completion, Terms
-from ..routing.keys import KeyClash, KeysFull, KnownKey, NewKey
+from ..routing.idempotency_keys import KeyConflict, KeysFull, KnownKey, NewKey
 from .claims import ClaimedBy, ClaimFailed, Claims, NewClaim
 from .context import NodeContext, home_of
 from .driver import Driver
@@ -94,7 +94,9 @@
         a request that is still running here.
         """
         key = arrival.terms.key
-        return key is not None and self._context.keys.known(arrival.customer, key) is not None
+        return (
+            key is not None and self._context.keys.find_request(arrival.customer, key) is not None
+        )
 
     def _admit_keyed(self, arrival: Arrival, served: Served) -> Admitted:
         context, key = self._context, arrival.terms.key
@@ -120,7 +122,7 @@
                 return served
             case KnownKey(request_id=known_id):
                 return self._known(known_id)
-            case KeyClash():
+            case KeyConflict():
                 outcome = NotRun("the key was used with another body", status=422)
                 return Rejected(outcome, served.request_id)
             case KeysFull():
--- a/monsoonflow/placement/copies.py
+++ b/monsoonflow/placement/copies.py
@@ -46,7 +46,7 @@
 
         :param span_s: time since the last word.
         """
-        now = work.unread_tokens + REQUEST_LOAD * work.requests
+        now = work.pending_prefill_tokens + REQUEST_LOAD * work.requests
         known = self._by_id.get(life, 0.0)
         self._by_id[life] = known + (now - known) * min(1.0, span_s / SMOOTHED_OVER_S)
 
@@ -106,9 +106,9 @@
 
 def _most_used(runner: RunnerSeats, work: Mapping[ServerLife, ServerWork]) -> str | None:
     at = work.get(runner.life)
-    if at is None or not at.by_adapter:
+    if at is None or not at.requests_by_adapter:
         return None
-    name, users = max(at.by_adapter.items(), key=lambda pair: pair[1])
+    name, users = max(at.requests_by_adapter.items(), key=lambda pair: pair[1])
     return name if users >= LEAST_USERS and runner.ready(name) is not None else None
 
 
--- a/monsoonflow/placement/desk.py
+++ b/monsoonflow/placement/desk.py
@@ -25,8 +25,8 @@
     Unusable,
 )
 from ..routing.in_flight import ServerWork
-from ..routing.lately_sent import LatelySent
-from ..routing.reading import LEAST_DRAIN_MS
+from ..routing.prefill_rate import MIN_DRAIN_MS
+from ..routing.recently_sent import RecentlySent
 from ..routing.routes import EngineTraits
 from .copies import RunnerLoads, wanted_copy
 from .heat import Heat
@@ -124,7 +124,7 @@
         self._ticked_ms = 0
         self._model_loads = ModelLoads(traits.loads_per_s, load_window_ms, since_ms)
         self._pace = Pace()
-        self._grants = LatelySent(UNREPORTED_MS)
+        self._grants = RecentlySent(UNREPORTED_MS)
         self._returners = Returners()
         self.loads = 0
         self.cold_loads = 0
@@ -213,7 +213,7 @@
         waiter.load_ms = self._load_ms(waiter)
         outlasted_ms = self._outlasted_ms(waiter, now_ms, work)
         if outlasted_ms is not None:
-            self._refuse(waiter, NoPlace(max(LEAST_DRAIN_MS, outlasted_ms)), now_ms)
+            self._refuse(waiter, NoPlace(max(MIN_DRAIN_MS, outlasted_ms)), now_ms)
             return
         if self._settled_ms is None or now_ms - self._settled_ms > SETTLED_MS:
             self._waiters[waiter] = None
@@ -623,14 +623,14 @@
         for life in self.runners:
             at = work.get(life, _NO_WORK)
             self._loads_by_runner.note(life, at, span_s)
-            for name, count in at.by_adapter.items():
+            for name, count in at.requests_by_adapter.items():
                 self._heat.add(name, count * span_s, now_ms)
         self._heat.forget_cold(now_ms)
 
     def _note_use(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
         """Note which seats are seen in use: from here on the use itself keeps the place."""
         for life, runner in self.runners.items():
-            for name in work.get(life, _NO_WORK).by_adapter:
+            for name in work.get(life, _NO_WORK).requests_by_adapter:
                 seat = runner.seats.get(name)
                 if seat is not None:
                     seat.used_ms = now_ms
@@ -650,4 +650,4 @@
 
 def _crowd(work: dict[ServerLife, ServerWork], life: ServerLife) -> int:
     at_server = work.get(life, _NO_WORK)
-    return at_server.unread_tokens + 60 * at_server.requests
+    return at_server.pending_prefill_tokens + 60 * at_server.requests
--- a/monsoonflow/placement/idle.py
+++ b/monsoonflow/placement/idle.py
@@ -61,7 +61,7 @@
     ) -> list[Seat]:
         """Return the seats of a runner that nothing uses, or may use unheard."""
         at = work.get(runner.life)
-        used = at.by_adapter if at is not None else _NOTHING
+        used = at.requests_by_adapter if at is not None else _NOTHING
         unseen_ms = now_ms - UNSEEN_MS
         ready = SeatState.READY
         return [
--- a/monsoonflow/placement/runner_choice.py
+++ b/monsoonflow/placement/runner_choice.py
@@ -41,7 +41,10 @@
                 continue
             runner = taker.runner
             # A replacement waits for the runs on the old version, and new ones wait with it.
-            in_use = waiter.name in runner.seats and taker.work.by_adapter.get(waiter.name, 0) > 0
+            in_use = (
+                waiter.name in runner.seats
+                and taker.work.requests_by_adapter.get(waiter.name, 0) > 0
+            )
             rank = (in_use, taker.crowded, runner.life not in warm)
             if least is None or rank < least:
                 least, equals = rank, []
--- a/monsoonflow/placement/takers.py
+++ b/monsoonflow/placement/takers.py
@@ -117,7 +117,7 @@
         if len(loading) < MAX_INCOMING and _can_be_ordered(runner):
             work = self._work.get(life, _NO_WORK)
             has_room = room > 0 or bool(idle)
-            taker = Taker(runner, work, has_room, work.unread_tokens > CROWDED_TOKENS)
+            taker = Taker(runner, work, has_room, work.pending_prefill_tokens > CROWDED_TOKENS)
             self._taker_by_life[life] = taker
             if has_room:
                 self._roomy[life] = taker
--- a/monsoonflow/placement/waiting.py
+++ b/monsoonflow/placement/waiting.py
@@ -14,9 +14,9 @@
 import attrs
 
 from ..core.server_life import ServerLife
-from ..routing.first_event import BASE_MS
+from ..routing.first_event import BASE_LATENCY_MS
 from ..routing.in_flight import ServerWork
-from ..routing.reading import FIRST_TOKENS_PER_MS
+from ..routing.prefill_rate import INITIAL_TOKENS_PER_MS
 
 RATE_WINDOW_MS: Final = 2_000
 """Window in which places given are counted: longer than a load, shorter than a rush."""
@@ -75,7 +75,7 @@
     rank: int = 0
     prompt_tokens: int = 0
     read_by_ms: int | None = None
-    tokens_per_ms: float = FIRST_TOKENS_PER_MS
+    tokens_per_ms: float = INITIAL_TOKENS_PER_MS
 
     def read_in_time(self, at: ServerWork, granted_tokens: int, now_ms: int) -> bool:
         """Tell whether a runner will have read its prompt before its caller leaves.
@@ -84,15 +84,15 @@
         """
         if self.read_by_ms is None:
             return True
-        if not at.unread_ahead(self.rank) + granted_tokens:
+        if not at.pending_prefill_ahead(self.rank) + granted_tokens:
             # Refused before an idle runner, nobody would show that it reads quicker than believed.
             return now_ms < self.read_by_ms
         return self.read_at_ms(at, granted_tokens, now_ms) <= self.read_by_ms
 
     def read_at_ms(self, at: ServerWork, granted_tokens: int, now_ms: int) -> int:
         """Return when a runner will have read its prompt, were it sent there now."""
-        tokens = at.unread_ahead(self.rank) + granted_tokens + self.prompt_tokens
-        return now_ms + BASE_MS + int(tokens / self.tokens_per_ms)
+        tokens = at.pending_prefill_ahead(self.rank) + granted_tokens + self.prompt_tokens
+        return now_ms + BASE_LATENCY_MS + int(tokens / self.tokens_per_ms)
 
     def late(self, now_ms: int) -> bool:
         """Tell whether the first event would be late even if the adapter were loaded from now."""
--- a/monsoonflow/platform/configuration.py
+++ b/monsoonflow/platform/configuration.py
@@ -72,11 +72,11 @@
         targets=tuple(target for target in targets if target.weight > 0) or tuple(targets),
         timeout_ms=int(entry.timeout_ms),
         objective_ms=objective_ms,
-        first_event_by_ms=_first_event_by_ms(objective_ms, int(entry.gap_aim_ms)),
-        pause_ms=int(entry.gap_aim_ms),
-        attempts=max(1, entry.attempts),
+        first_event_timeout_ms=_first_event_by_ms(objective_ms, int(entry.gap_aim_ms)),
+        max_event_gap_ms=int(entry.gap_aim_ms),
+        max_attempts=max(1, entry.attempts),
         priority=entry.priority,
-        resumable=entry.resumable,
+        is_resumable=entry.resumable,
     )
 
 
@@ -107,7 +107,7 @@
         for entry in traits.models
     ]
     return EngineTraits(
-        batch=traits.slots,
+        max_batch_size=traits.slots,
         memory_tokens=traits.kv_capacity,
         weights_mb=traits.weights_mb,
         adapter_slots=traits.adapter_slots,
--- a/monsoonflow/platform/servers.py
+++ b/monsoonflow/platform/servers.py
@@ -32,9 +32,9 @@
         service=fields.service,
         address=fields.address,
         data_centre=fields.zone,
-        slots=fields.slots,
-        leaving=fields.state != "ready",
-        leaves_in_ms=None if fields.remaining_ms is None else round(fields.remaining_ms),
+        max_concurrent_requests=fields.slots,
+        is_leaving=fields.state != "ready",
+        leaving_in_ms=None if fields.remaining_ms is None else round(fields.remaining_ms),
         models=models,
     )
 
--- a/monsoonflow/routing/servers.py
+++ b/monsoonflow/routing/balancer.py
@@ -5,7 +5,7 @@
 import random
 
 
-class ServerChoice:
+class LeastCallsBalancer:
     """Picks the server with the fewest calls of this node in progress.
 
     That number is known without delay. Load reports are as old as the last health check, and every
@@ -29,7 +29,7 @@
         self._in_flight_by_address[chosen] = least + 1
         return chosen
 
-    def ended(self, address: str) -> None:
+    def record_end(self, address: str) -> None:
         """Count the end of a call."""
         left = self._in_flight(address) - 1
         if left > 0:
--- a/monsoonflow/routing/budget.py
+++ b/monsoonflow/routing/budget.py
@@ -7,15 +7,15 @@
 
 import attrs
 
-USED_SHARE: Final = 0.85
+USABLE_SHARE: Final = 0.85
 """Share of the allowance that is used: firsts are counted when they are read, not when callers
 send them, and a send arrives a little later than it is counted."""
 
-UNHEARD_SHARE: Final = 0.15
+ISOLATED_NODE_SHARE: Final = 0.15
 """Share of the reserve that one node may use when it hears of no other: seven such nodes together
 stay inside the reserve."""
 
-BUSY_REQUESTS: Final = 20
+MIN_BUSY_REQUESTS: Final = 20
 """So many requests of a window are more than questions now and then, as operators and checks ask
 each node once a second."""
 
@@ -35,15 +35,15 @@
 
 
 @attrs.frozen(slots=True)
-class Spent:
+class RetryUsage:
     """First requests and retries in the window."""
 
-    firsts: int = 0
+    first_attempts: int = 0
     retries: int = 0
 
 
 @attrs.frozen(slots=True)
-class OthersSpent:
+class PeerRetryUsage:
     """What the other nodes have spent of a service's budget, as this node knows it.
 
     :param told: of those whose word counts.
@@ -57,13 +57,13 @@
     :param age_ms: how old the word of a node that counts may be, and this node's word there.
     """
 
-    told: tuple[Spent, ...] = ()
-    sharers: int = 1
-    counted: int = 1
-    past: int = 0
-    ended: int = 0
-    entitled: bool = True
-    age_ms: int = 0
+    reported: tuple[RetryUsage, ...] = ()
+    sharing_nodes: int = 1
+    connected_nodes: int = 1
+    past_retries: int = 0
+    ended_processes: int = 0
+    is_entitled: bool = True
+    max_heartbeat_age_ms: int = 0
 
 
 @attrs.frozen(slots=True)
@@ -75,40 +75,40 @@
     :param allowed: whether one more fits.
     """
 
-    known: int
-    limit: float
-    allowed: bool
+    known_retries: int
+    retry_limit: float
+    is_allowed: bool
 
 
 class _Window:
     """Counts events in a sliding window."""
 
     def __init__(self, span_ms: int) -> None:
-        self.span_ms = span_ms
-        self._times: deque[int] = deque()
+        self.window_ms = span_ms
+        self._times_ms: deque[int] = deque()
 
     def add(self, now_ms: int) -> None:
-        self._times.append(now_ms)
+        self._times_ms.append(now_ms)
 
     def count(self, now_ms: int) -> int:
-        while self._times and self._times[0] <= now_ms - self.span_ms:
-            self._times.popleft()
-        return len(self._times)
+        while self._times_ms and self._times_ms[0] <= now_ms - self.window_ms:
+            self._times_ms.popleft()
+        return len(self._times_ms)
 
-    def count_within(self, within_ms: int, now_ms: int) -> int:
+    def count_recent(self, max_age_ms: int, now_ms: int) -> int:
         """Return how many of the window's events are younger than some age."""
         self.count(now_ms)
-        return sum(1 for at_ms in self._times if at_ms > now_ms - within_ms)
+        return sum(1 for at_ms in self._times_ms if at_ms > now_ms - max_age_ms)
 
 
-class _Service:
+class _ServiceCounts:
     """What this node has counted of one service."""
 
     def __init__(self, window_ms: int) -> None:
-        self.firsts = _Window(window_ms)
-        self.granted = _Window(window_ms)
-        self.arrived = _Window(window_ms)
-        self.promised = 0
+        self.first_attempts = _Window(window_ms)
+        self.granted_retries = _Window(window_ms)
+        self.sent_retries = _Window(window_ms)
+        self.unsent_retries = 0
 
 
 class FleetRetryBudget:
@@ -128,74 +128,82 @@
     def __init__(self, allowance: RetryAllowance, started_ms: int | None = None) -> None:
         self.allowance = allowance
         self._started_ms = started_ms
-        self._by_service: dict[str, _Service] = {}
+        self._counts_by_service: dict[str, _ServiceCounts] = {}
 
-    def first(self, service: str, now_ms: int) -> None:
+    def record_first_attempt(self, service: str, now_ms: int) -> None:
         """Count a request for a service."""
-        self._counts(service).firsts.add(now_ms)
+        self._counts_of(service).first_attempts.add(now_ms)
 
-    def granted(self, service: str, now_ms: int) -> None:
+    def grant_retry(self, service: str, now_ms: int) -> None:
         """Count a further try that is allowed and will be sent later."""
-        counts = self._counts(service)
-        counts.granted.add(now_ms)
-        counts.promised += 1
+        counts = self._counts_of(service)
+        counts.granted_retries.add(now_ms)
+        counts.unsent_retries += 1
 
-    def sent(self, service: str, now_ms: int) -> None:
+    def record_sent_retry(self, service: str, now_ms: int) -> None:
         """Count the arrival of a further try that was granted."""
-        counts = self._counts(service)
-        counts.promised -= 1
-        counts.arrived.add(now_ms)
+        counts = self._counts_of(service)
+        counts.unsent_retries -= 1
+        counts.sent_retries.add(now_ms)
 
-    def unused(self, service: str) -> None:
+    def cancel_retry(self, service: str) -> None:
         """Count a further try that was granted and is not sent any more no longer."""
-        self._counts(service).promised -= 1
+        self._counts_of(service).unsent_retries -= 1
 
-    def spent(self, service: str, now_ms: int) -> Spent:
+    def usage(self, service: str, now_ms: int) -> RetryUsage:
         """Return what this node has counted in the window; what will be sent counts as sent."""
-        counts = self._counts(service)
-        return Spent(counts.firsts.count(now_ms), counts.arrived.count(now_ms) + counts.promised)
+        counts = self._counts_of(service)
+        return RetryUsage(
+            counts.first_attempts.count(now_ms),
+            counts.sent_retries.count(now_ms) + counts.unsent_retries,
+        )
 
-    def all_spent(self, now_ms: int) -> dict[str, Spent]:
+    def usage_by_service(self, now_ms: int) -> dict[str, RetryUsage]:
         """Return the counts of all services."""
-        return {service: self.spent(service, now_ms) for service in self._by_service}
+        return {service: self.usage(service, now_ms) for service in self._counts_by_service}
 
-    def busy(self, now_ms: int) -> bool:
+    def is_busy(self, now_ms: int) -> bool:
         """Tell whether this node has callers."""
-        return any(spent.firsts >= BUSY_REQUESTS for spent in self.all_spent(now_ms).values())
+        return any(
+            spent.first_attempts >= MIN_BUSY_REQUESTS
+            for spent in self.usage_by_service(now_ms).values()
+        )
 
-    def counts_ms(self, now_ms: int) -> int:
+    def counted_ms(self, now_ms: int) -> int:
         """Return for how long this process has counted, at most a window."""
         window_ms = self.allowance.window_ms
         return window_ms if self._started_ms is None else min(window_ms, now_ms - self._started_ms)
 
-    def headroom(self, service: str, others: OthersSpent, now_ms: int) -> Headroom:
+    def headroom(self, service: str, peers: PeerRetryUsage, now_ms: int) -> Headroom:
         """Return whether one more arrival fits, and what that rests on."""
-        own = self.spent(service, now_ms)
-        known = own.retries + sum(spent.retries for spent in others.told) + others.past
-        firsts = own.firsts + sum(spent.firsts for spent in others.told)
-        limit = (self.allowance.ratio * firsts + self._reserve(others)) * USED_SHARE
+        own = self.usage(service, now_ms)
+        known = own.retries + sum(spent.retries for spent in peers.reported) + peers.past_retries
+        firsts = own.first_attempts + sum(spent.first_attempts for spent in peers.reported)
+        limit = (self.allowance.ratio * firsts + self._usable_reserve(peers)) * USABLE_SHARE
         # Each node that counts may spend as much as this one before they hear of each other.
-        lately = self._counts(service).granted.count_within(others.age_ms, now_ms)
-        fits = known - lately + (lately + 1) * others.counted <= limit
-        if not others.entitled:
+        lately = self._counts_of(service).granted_retries.count_recent(
+            peers.max_heartbeat_age_ms, now_ms
+        )
+        fits = known - lately + (lately + 1) * peers.connected_nodes <= limit
+        if not peers.is_entitled:
             # All that is usually used may have been spent, by processes that are gone or by nodes
             # that do not reckon with this one.
-            earned = self.allowance.ratio * own.firsts * (1 - USED_SHARE)
+            earned = self.allowance.ratio * own.first_attempts * (1 - USABLE_SHARE)
             fits = fits and own.retries + 1 <= earned
         return Headroom(known, limit, fits)
 
-    def _reserve(self, others: OthersSpent) -> float:
+    def _usable_reserve(self, peers: PeerRetryUsage) -> float:
         """Return the part of the reserve that this node and those that it hears may use."""
         reserve = self.allowance.reserve
-        if others.counted == 1:
+        if peers.connected_nodes == 1:
             # Nodes that were never heard may be more than are known.
-            reserve = min(reserve, reserve * UNHEARD_SHARE / USED_SHARE)
+            reserve = min(reserve, reserve * ISOLATED_NODE_SHARE / USABLE_SHARE)
         whole = self.allowance.reserve
-        shared = min(reserve, whole * others.counted / others.sharers)
-        return max(0.0, shared - whole * others.ended / others.sharers)
+        shared = min(reserve, whole * peers.connected_nodes / peers.sharing_nodes)
+        return max(0.0, shared - whole * peers.ended_processes / peers.sharing_nodes)
 
-    def _counts(self, service: str) -> _Service:
-        counts = self._by_service.get(service)
+    def _counts_of(self, service: str) -> _ServiceCounts:
+        counts = self._counts_by_service.get(service)
         if counts is None:
-            counts = self._by_service[service] = _Service(self.allowance.window_ms)
+            counts = self._counts_by_service[service] = _ServiceCounts(self.allowance.window_ms)
         return counts
--- a/monsoonflow/routing/keys.py
+++ b/monsoonflow/routing/idempotency_keys.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyClash:
+class KeyConflict:
     """The key was used with another body."""
 
 
@@ -31,7 +31,7 @@
     """No more keys can be kept; the request must not be admitted."""
 
 
-KeyVerdict: TypeAlias = NewKey | KnownKey | KeyClash | KeysFull
+KeyResult: TypeAlias = NewKey | KnownKey | KeyConflict | KeysFull
 
 
 @attrs.define(slots=True)
@@ -41,29 +41,29 @@
     ended_ms: int | None = None
 
 
-class KeyBook:
+class IdempotencyKeys:
     """Remembers keys per customer until a fixed time after their request has ended.
 
     A full book refuses new keys rather than forgetting old ones: forgetting one would let its
     request run a second time.
     """
 
-    def __init__(self, keep_ms: int, max_keys: int) -> None:
-        self._keep_ms = keep_ms
+    def __init__(self, retention_ms: int, max_keys: int) -> None:
+        self._retention_ms = retention_ms
         self._max_keys = max_keys
         self._entry_by_key: OrderedDict[tuple[str, str], _Entry] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._entry_by_key)
 
-    def known(self, customer: str, key: str) -> str | None:
+    def find_request(self, customer: str, key: str) -> str | None:
         """Return the request that a key stands for, if any."""
         entry = self._entry_by_key.get((customer, key))
         return entry.request_id if entry is not None else None
 
     def admit(
         self, customer: str, key: str, body_digest: bytes, request_id: str, now_ms: int
-    ) -> KeyVerdict:
+    ) -> KeyResult:
         """Register a key, or tell what it already stands for.
 
         Keys of different customers never meet: one can neither see nor block another's.
@@ -72,14 +72,14 @@
         entry = self._entry_by_key.get((customer, key))
         if entry is not None:
             if entry.body_digest != body_digest:
-                return KeyClash()
+                return KeyConflict()
             return KnownKey(entry.request_id)
         if len(self._entry_by_key) >= self._max_keys:
             return KeysFull()
         self._entry_by_key[(customer, key)] = _Entry(request_id, body_digest)
         return NewKey()
 
-    def ended(self, customer: str, key: str, now_ms: int, ran: bool) -> None:
+    def record_end(self, customer: str, key: str, now_ms: int, has_run: bool) -> None:
         """Note the end of a key's request.
 
         :param ran: ``False`` for ``not_run``, which frees the key: the caller may try again.
@@ -87,7 +87,7 @@
         entry = self._entry_by_key.get((customer, key))
         if entry is None:
             return
-        if not ran:
+        if not has_run:
             del self._entry_by_key[(customer, key)]
             return
         entry.ended_ms = now_ms
@@ -95,5 +95,5 @@
 
     def _expire(self, now_ms: int) -> None:
         for key, entry in list(self._entry_by_key.items())[:8]:
-            if entry.ended_ms is not None and now_ms - entry.ended_ms > self._keep_ms:
+            if entry.ended_ms is not None and now_ms - entry.ended_ms > self._retention_ms:
                 del self._entry_by_key[key]
--- a/monsoonflow/routing/in_flight.py
+++ b/monsoonflow/routing/in_flight.py
@@ -22,65 +22,67 @@
     """
 
     requests: int = 0
-    unread_tokens: int = 0
+    pending_prefill_tokens: int = 0
     memory_tokens: int = 0
-    by_adapter: Counter[str] = attrs.Factory(Counter)
-    unread_by_rank: dict[int, int] = attrs.Factory(dict)
+    requests_by_adapter: Counter[str] = attrs.Factory(Counter)
+    pending_prefill_by_rank: dict[int, int] = attrs.Factory(dict)
 
-    def unread_ahead(self, rank: int) -> int:
+    def pending_prefill_ahead(self, rank: int) -> int:
         """Return the prompt tokens that are read before those of a new request.
 
         A runner reads the most urgent first. Taken for ahead, the tokens of all others made an
         urgent request seem lost behind 200,000 tokens, where it waits for half a second.
         """
-        if not self.unread_by_rank:
-            return self.unread_tokens
-        behind = sum(tokens for other, tokens in self.unread_by_rank.items() if other > rank)
-        return max(0, self.unread_tokens - behind)
+        if not self.pending_prefill_by_rank:
+            return self.pending_prefill_tokens
+        behind = sum(
+            tokens for other, tokens in self.pending_prefill_by_rank.items() if other > rank
+        )
+        return max(0, self.pending_prefill_tokens - behind)
 
     def add(self, other: ServerWork) -> None:
         """Add another node's share."""
         self.requests += other.requests
-        self.unread_tokens += other.unread_tokens
+        self.pending_prefill_tokens += other.pending_prefill_tokens
         self.memory_tokens += other.memory_tokens
-        for name, requests in other.by_adapter.items():
-            self.by_adapter[name] += requests
-        ranks = self.unread_by_rank
-        for rank, tokens in other.unread_by_rank.items():
+        for name, requests in other.requests_by_adapter.items():
+            self.requests_by_adapter[name] += requests
+        ranks = self.pending_prefill_by_rank
+        for rank, tokens in other.pending_prefill_by_rank.items():
             ranks[rank] = ranks.get(rank, 0) + tokens
 
-    def remove(self, other: ServerWork) -> None:
+    def subtract(self, other: ServerWork) -> None:
         """Take off a share that was added before."""
         self.requests -= other.requests
-        self.unread_tokens -= other.unread_tokens
+        self.pending_prefill_tokens -= other.pending_prefill_tokens
         self.memory_tokens -= other.memory_tokens
-        for name, requests in other.by_adapter.items():
-            left = self.by_adapter[name] - requests
+        for name, requests in other.requests_by_adapter.items():
+            left = self.requests_by_adapter[name] - requests
             if left:
-                self.by_adapter[name] = left
+                self.requests_by_adapter[name] = left
             else:
-                del self.by_adapter[name]
-        for rank, tokens in other.unread_by_rank.items():
-            left = self.unread_by_rank.get(rank, 0) - tokens
+                del self.requests_by_adapter[name]
+        for rank, tokens in other.pending_prefill_by_rank.items():
+            left = self.pending_prefill_by_rank.get(rank, 0) - tokens
             if left:
-                self.unread_by_rank[rank] = left
+                self.pending_prefill_by_rank[rank] = left
             else:
-                self.unread_by_rank.pop(rank, None)
+                self.pending_prefill_by_rank.pop(rank, None)
 
-    def is_nothing(self) -> bool:
+    def is_empty(self) -> bool:
         """Tell whether no work is left."""
-        counts = (self.requests, self.unread_tokens, self.memory_tokens)
-        return not any(counts) and not self.by_adapter and not self.unread_by_rank
+        counts = (self.requests, self.pending_prefill_tokens, self.memory_tokens)
+        return not any(counts) and not self.requests_by_adapter and not self.pending_prefill_by_rank
 
 
-def joined(
-    others: Mapping[ServerLife, ServerWork], own: Mapping[ServerLife, ServerWork]
+def sum_work(
+    peers: Mapping[ServerLife, ServerWork], own: Mapping[ServerLife, ServerWork]
 ) -> dict[ServerLife, ServerWork]:
     """Return the sum of two tables of work.
 
     What stands in one table only is not copied: it is to be read at once, and not changed.
     """
-    total = dict(others)
+    total = dict(peers)
     for life, work in own.items():
         known = total.get(life)
         if known is None:
@@ -102,11 +104,11 @@
 
     life: ServerLife
     adapter: str | None
-    unread_tokens: int
+    pending_prefill_tokens: int
     memory_tokens: int
     sent_ms: int
-    unread: bool = True
-    ended: bool = False
+    is_awaiting_first_event: bool = True
+    is_ended: bool = False
     rank: int | None = None
 
 
@@ -117,70 +119,72 @@
     """
 
     def __init__(self, on_adapter_change: Callable[[], None] = lambda: None) -> None:
-        self.by_server: dict[ServerLife, ServerWork] = {}
+        self.work_by_server: dict[ServerLife, ServerWork] = {}
         self._on_adapter_change = on_adapter_change
         self._changed: set[ServerLife] = set()
 
-    def take_changed(self) -> dict[ServerLife, ServerWork]:
+    def pop_changed(self) -> dict[ServerLife, ServerWork]:
         """Return the work at the servers where it has changed since this was last asked."""
         changed, self._changed = self._changed, set()
-        return {life: self.at(life) for life in changed}
+        return {life: self.work_at(life) for life in changed}
 
     def begin(
         self,
         life: ServerLife,
         now_ms: int,
         adapter: str | None = None,
-        unread_tokens: int = 0,
+        pending_prefill_tokens: int = 0,
         memory_tokens: int = 0,
         rank: int | None = None,
     ) -> Ticket:
         """Count a request that is about to be sent."""
         self._changed.add(life)
-        work = self.by_server.setdefault(life, ServerWork())
+        work = self.work_by_server.setdefault(life, ServerWork())
         work.requests += 1
-        work.unread_tokens += unread_tokens
-        if rank is not None and unread_tokens:
-            work.unread_by_rank[rank] = work.unread_by_rank.get(rank, 0) + unread_tokens
+        work.pending_prefill_tokens += pending_prefill_tokens
+        if rank is not None and pending_prefill_tokens:
+            work.pending_prefill_by_rank[rank] = (
+                work.pending_prefill_by_rank.get(rank, 0) + pending_prefill_tokens
+            )
         work.memory_tokens += memory_tokens
         if adapter is not None:
-            work.by_adapter[adapter] += 1
-            if work.by_adapter[adapter] == 1:
+            work.requests_by_adapter[adapter] += 1
+            if work.requests_by_adapter[adapter] == 1:
                 self._on_adapter_change()
-        return Ticket(life, adapter, unread_tokens, memory_tokens, now_ms, rank=rank)
+        return Ticket(life, adapter, pending_prefill_tokens, memory_tokens, now_ms, rank=rank)
 
-    def first_event(self, ticket: Ticket) -> None:
+    def record_first_event(self, ticket: Ticket) -> None:
         """Note that a request's prompt has been read."""
-        ticket.unread = False
-        if ticket.ended or not ticket.unread_tokens:
+        ticket.is_awaiting_first_event = False
+        if ticket.is_ended or not ticket.pending_prefill_tokens:
             return
         self._changed.add(ticket.life)
-        work = self.by_server[ticket.life]
-        work.unread_tokens -= ticket.unread_tokens
+        work = self.work_by_server[ticket.life]
+        work.pending_prefill_tokens -= ticket.pending_prefill_tokens
         if ticket.rank is not None:
-            work.unread_by_rank[ticket.rank] -= ticket.unread_tokens
-            if not work.unread_by_rank[ticket.rank]:
-                del work.unread_by_rank[ticket.rank]
-        ticket.unread_tokens = 0
+            work.pending_prefill_by_rank[ticket.rank] -= ticket.pending_prefill_tokens
+            if not work.pending_prefill_by_rank[ticket.rank]:
+                del work.pending_prefill_by_rank[ticket.rank]
+        ticket.pending_prefill_tokens = 0
 
     def end(self, ticket: Ticket) -> None:
         """Count a request out; a second time does nothing."""
-        if ticket.ended:
+        if ticket.is_ended:
             return
-        self.first_event(ticket)
-        ticket.ended = True
+        self.record_first_event(ticket)
+        ticket.is_ended = True
         self._changed.add(ticket.life)
-        work = self.by_server[ticket.life]
+        work = self.work_by_server[ticket.life]
         work.requests -= 1
         work.memory_tokens -= ticket.memory_tokens
         if ticket.adapter is not None:
-            work.by_adapter[ticket.adapter] -= 1
-            if work.by_adapter[ticket.adapter] <= 0:
-                del work.by_adapter[ticket.adapter]
+            work.requests_by_adapter[ticket.adapter] -= 1
+            if work.requests_by_adapter[ticket.adapter] <= 0:
+                del work.requests_by_adapter[ticket.adapter]
                 self._on_adapter_change()
         if work.requests <= 0:
-            del self.by_server[ticket.life]
+            del self.work_by_server[ticket.life]
 
-    def at(self, life: ServerLife) -> ServerWork:
+    def work_at(self, life: ServerLife) -> ServerWork:
         """Return the work at a server."""
-        return self.by_server.get(life) or ServerWork()
+        return self.work_by_server.get(life) or ServerWork()
--- a/monsoonflow/routing/silence.py
+++ b/monsoonflow/routing/response_watch.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from .pauses import MOST_DOUBLINGS, pause_ms
+from .backoff import MAX_DOUBLINGS, backoff_ms
 
 
 @attrs.define(slots=True)
-class Silence:
+class ResponseWatch:
     """Whether one server gives signs while requests wait at it.
 
     A server whose process stands still takes requests into its kernel's buffers and answers none.
@@ -22,40 +22,40 @@
     :param trial_from_ms: when the next request may be sent after one was missed.
     """
 
-    waiting: set[str] = attrs.Factory(set)
-    within_ms: int = 0
+    pending_requests: set[str] = attrs.Factory(set)
+    timeout_ms: int = 0
     due_ms: int | None = None
-    missed: int = 0
-    trial_from_ms: int = 0
+    missed_count: int = 0
+    probe_from_ms: int = 0
 
-    def sent(self, request: str, now_ms: int, within_ms: int) -> None:
+    def record_sent(self, request: str, now_ms: int, timeout_ms: int) -> None:
         """Take that a request goes out."""
-        self.waiting.add(request)
-        self.within_ms = within_ms
+        self.pending_requests.add(request)
+        self.timeout_ms = timeout_ms
         if self.due_ms is None:
-            self.due_ms = now_ms + within_ms
+            self.due_ms = now_ms + timeout_ms
 
-    def broken(self, now_ms: int) -> int:
+    def record_response(self, now_ms: int) -> int:
         """Take a sign of life; return how many had been missed."""
-        missed, self.missed = self.missed, 0
-        self.due_ms = now_ms + self.within_ms if len(self.waiting) > 1 else None
+        missed, self.missed_count = self.missed_count, 0
+        self.due_ms = now_ms + self.timeout_ms if len(self.pending_requests) > 1 else None
         return missed
 
-    def ended(self, request: str) -> None:
+    def record_finished(self, request: str) -> None:
         """Take that a request waits no longer."""
-        self.waiting.discard(request)
-        if not self.waiting:
+        self.pending_requests.discard(request)
+        if not self.pending_requests:
             self.due_ms = None
 
-    def look(self, now_ms: int) -> bool:
+    def check_overdue(self, now_ms: int) -> bool:
         """Count a sign that is overdue as missed; return whether it was."""
         if self.due_ms is None or now_ms < self.due_ms:
             return False
-        self.trial_from_ms = now_ms + pause_ms(self.missed)
-        self.missed = min(self.missed + 1, MOST_DOUBLINGS)
+        self.probe_from_ms = now_ms + backoff_ms(self.missed_count)
+        self.missed_count = min(self.missed_count + 1, MAX_DOUBLINGS)
         self.due_ms = None
         return True
 
-    def holds_back(self, now_ms: int) -> bool:
+    def is_held_back(self, now_ms: int) -> bool:
         """Tell whether nothing more should be sent: a trial is under way, or not due yet."""
-        return self.missed > 0 and (now_ms < self.trial_from_ms or self.due_ms is not None)
+        return self.missed_count > 0 and (now_ms < self.probe_from_ms or self.due_ms is not None)
--- a/monsoonflow/routing/routes.py
+++ b/monsoonflow/routing/routes.py
@@ -47,20 +47,20 @@
     targets: tuple[Target, ...]
     timeout_ms: int = 10_000
     objective_ms: int = 1_000
-    pause_ms: int = 1_000
-    attempts: int = 1
+    max_event_gap_ms: int = 1_000
+    max_attempts: int = 1
     priority: int = 0
-    resumable: bool = False
-    first_event_by_ms: int | None = None
+    is_resumable: bool = False
+    first_event_timeout_ms: int | None = None
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Tell whether a request may run more than once.
 
         That follows from what the operator declares, never from a method or a name.
         """
         return self.kind is RouteKind.IDEMPOTENT or (
-            self.kind is RouteKind.STREAM and self.resumable
+            self.kind is RouteKind.STREAM and self.is_resumable
         )
 
     def choose_service(self, rng: random.Random) -> str:
@@ -99,14 +99,14 @@
     :param loads_per_s: loads of base models that the weight store allows over all runners.
     """
 
-    batch: int
+    max_batch_size: int
     memory_tokens: int
     weights_mb: float
     adapter_slots: int
     loads_per_s: float
     models: tuple[BaseModel, ...] = ()
 
-    def model(self, name: str) -> BaseModel | None:
+    def find_model(self, name: str) -> BaseModel | None:
         """Return a base model by its name."""
         return next((model for model in self.models if model.name == name), None)
 
--- a/monsoonflow/serving/core.py
+++ b/monsoonflow/serving/core.py
@@ -116,7 +116,7 @@
         if owned is None or owned.handing_over or not self.lease.held(now_ms):
             return NotOwner()
         time_left_ms = terms.deadline_ms - now_ms
-        refusal = self.admission.admit(
+        refusal = self.admission.check(
             terms.customer, runner_id, owned.runner.queued, time_left_ms, now_ms
         )
         if refusal is not None:
@@ -326,7 +326,7 @@
             left_ms = active.life.terms.deadline_ms - now_ms
             if left_ms <= 0:
                 self._give_up(active, "the deadline has passed", None)
-            elif active.waiting and left_ms < self.admission.run_ms(active.runner_id or ""):
+            elif active.waiting and left_ms < self.admission.mean_run_ms(active.runner_id or ""):
                 # Sent now, it would be cut off by its deadline in the middle of its answer, after
                 # taking a place from one that can still be served whole.
                 self._give_up(active, "too little time is left", EXPIRED_RETRY_MS)
@@ -344,7 +344,7 @@
         if active.dispatched_ms:
             done = isinstance(active.life.outcome, Done)
             run_ms = now_ms - active.dispatched_ms if done else None
-            self.admission.drained(runner_id, run_ms, now_ms)
+            self.admission.record_run_end(runner_id, run_ms, now_ms)
         owned = self.owned_by_runner.get(runner_id)
         if owned is None:
             return
--- a/tests/entry/silent_store.py
+++ b/tests/entry/silent_store.py
@@ -285,7 +285,7 @@
 
     def _sweep_for_good(self, node: Node) -> None:
         node.followed.servers.look_again()
-        node.beliefs.book.settle(self.world.now_ms())
+        node.beliefs.book.pop_removed(self.world.now_ms())
         self.world.later(SWEEP_EVERY_MS, lambda: self._sweep_for_good(node))
 
     def _tell_for_good(self, node: Node) -> None:
@@ -324,7 +324,7 @@
 def left(server_id: str) -> Callable[[Node], bool]:
     """Return what tells whether a node sends nothing more to a server."""
     life = ServerLife(server_id)
-    return lambda node: not node.beliefs.book.takes_work(life)
+    return lambda node: not node.beliefs.book.is_accepting_work(life)
 
 
 def configured(version: int) -> Callable[[Node], bool]:
--- a/tests/entry/test_activity.py
+++ b/tests/entry/test_activity.py
@@ -10,7 +10,7 @@
 from monsoonflow.entry.activity import Activity
 from monsoonflow.fleet.models import DutyClaim, NodeCard
 from monsoonflow.fleet.view import FleetView
-from monsoonflow.routing.budget import BUSY_REQUESTS, FleetRetryBudget, RetryAllowance
+from monsoonflow.routing.budget import MIN_BUSY_REQUESTS, FleetRetryBudget, RetryAllowance
 from monsoonflow.routing.in_flight import InFlight
 
 WINDOW_MS = 10_000
@@ -54,14 +54,14 @@
     With four requests in ten seconds as the sign of callers, all of 195 nodes counted as active and
     nothing was saved: 0.35 GB between data centres in a minute, as before.
     """
-    for _ in range(BUSY_REQUESTS - 1):
-        node.budget.first("s", node.clock.now_ms())
+    for _ in range(MIN_BUSY_REQUESTS - 1):
+        node.budget.record_first_attempt("s", node.clock.now_ms())
     assert not node.activity.look()
 
 
 def test_a_node_with_callers_is_active_while_its_requests_count(node: Node):
-    for _ in range(BUSY_REQUESTS):
-        node.budget.first("s", node.clock.now_ms())
+    for _ in range(MIN_BUSY_REQUESTS):
+        node.budget.record_first_attempt("s", node.clock.now_ms())
     assert node.activity.look()
     node.clock.advance(WINDOW_MS + 1)
     assert not node.activity.look()
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -120,7 +120,7 @@
     assert hearer.take_report(report)
     hearer.book.put(SERVER, clock.now_ms())
     assert not hearer.take_report(report)
-    hearer.book.removed("i-1", clock.now_ms())
+    hearer.book.remove("i-1", clock.now_ms())
     assert not hearer.take_report(report)
     clock.advance(TELL_MS + 1)
     assert teller.recent_came() == ()
@@ -135,7 +135,7 @@
         asked.append(hearer.take_report(report))
         clock.advance(200)
     assert asked.count(True) == 1
-    assert not hearer.book.by_life
+    assert not hearer.book.server_by_life
 
 
 @attrs.define
--- a/tests/entry/test_pass_through.py
+++ b/tests/entry/test_pass_through.py
@@ -144,7 +144,7 @@
 def test_a_leaving_server_gets_nothing_new(fleet, one):
     leaving, staying = fleet.servers
     fleet.store.put("servers", "i-1", leaving.entry(state="draining"))
-    wait_for(lambda: not one.daemon.beliefs.book.takes_work(ServerLife("i-1")))
+    wait_for(lambda: not one.daemon.beliefs.book.is_accepting_work(ServerLife("i-1")))
     for number in range(10):
         fleet.ask(one, "/look/x", f"r{number}")
     assert not leaving.requests
@@ -184,7 +184,7 @@
     wait_for(lambda: ran(fleet, "r1"))
     sock.close()
     wait_for(lambda: sum(server.left for server in fleet.servers) == 1, 0.3)
-    assert one.daemon.in_flight.by_server == {}
+    assert one.daemon.in_flight.work_by_server == {}
 
 
 def test_an_unusable_configuration_leaves_the_last_good_one_in_force(fleet, one):
@@ -281,7 +281,7 @@
     fleet.bounds = PeerBounds(lease_ms=900, fenced=True, retry_ratio=0.0, retry_reserve=0.0)
     servers = [fleet.plain(f"i-{number}") for number in range(4)]
     node = fleet.node()
-    wait_for(lambda: len(node.daemon.beliefs.book.of_service("plain")) == 4)
+    wait_for(lambda: len(node.daemon.beliefs.book.servers_of("plain")) == 4)
     for server in servers[:3]:
         server.stop()
     answers = [fleet.ask(node, "/write/x", f"r{number}") for number in range(6)]
@@ -293,12 +293,12 @@
     fleet.plain("i-1").stop()
     fleet.plain("i-2").stop()
     node = fleet.node()
-    wait_for(lambda: len(node.daemon.beliefs.book.of_service("plain")) == 2)
+    wait_for(lambda: len(node.daemon.beliefs.book.servers_of("plain")) == 2)
     begun_ms = node.daemon.clock.now_ms()
     answer = fleet.ask(node, "/write/x", "r1")
     assert answer.head.status == 503
     assert node.daemon.clock.now_ms() - begun_ms < 500
-    assert node.daemon.budget.spent("plain", begun_ms).retries <= 12
+    assert node.daemon.budget.usage("plain", begun_ms).retries <= 12
 
 
 def test_the_line_of_a_send_tells_how_old_the_knowledge_of_servers_is(fleet, caplog):
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -150,7 +150,7 @@
 
 def test_a_node_that_starts_in_an_outage_learns_from_the_others(fleet, one):
     fleet.plain("p-1")
-    wait_for(lambda: one.daemon.beliefs.book.of_service("plain"))
+    wait_for(lambda: one.daemon.beliefs.book.servers_of("plain"))
     fleet.store.faults.down = True
     late = fleet.node(seeds=(one.daemon.settings.peer_address,))
     assert fleet.ask(late, "/look/x", "r1").head.status == 200
--- a/tests/entry/test_watchers.py
+++ b/tests/entry/test_watchers.py
@@ -148,7 +148,7 @@
         """Return how long it takes until no node would use a server that leaves now."""
         self.store.put(str(life), "draining")
         began_ms = self.clock.now_ms()
-        while any(node.up and node.beliefs.book.takes_work(life) for node in self.nodes):
+        while any(node.up and node.beliefs.book.is_accepting_work(life) for node in self.nodes):
             self.run(STEP_MS)
             if self.clock.now_ms() - began_ms > 40_000:
                 break
--- a/tests/fleet/retry_fleet.py
+++ b/tests/fleet/retry_fleet.py
@@ -186,7 +186,7 @@
 
     def _failed_or_not(self, process: _Process, now_ms: int) -> None:
         """Let a server fail a request that has reached it, or not."""
-        if self.rng.random() < self.fails and process.retries.may_retry(SERVICE).allowed:
+        if self.rng.random() < self.fails and process.retries.may_retry(SERVICE).is_allowed:
             process.waiting.append(now_ms + self.rng.randint(0, self.wait_ms))
 
     def _send(self, process: _Process, now_ms: int) -> None:
@@ -204,7 +204,7 @@
                 continue
             now_ms = self.clock.now_ms()
             for _ in range(each):
-                if node.process.retries.may_retry(SERVICE).allowed:
+                if node.process.retries.may_retry(SERVICE).is_allowed:
                     node.process.waiting.append(now_ms + self.rng.randint(0, self.wait_ms))
 
     def release(self) -> None:
@@ -217,7 +217,7 @@
         process.sequence += 1
         view = process.view
         in_progress = bool(process.waiting) or now_ms < process.busy_until_ms
-        active = view.is_small() or in_progress or process.budget.busy(now_ms)
+        active = view.is_small() or in_progress or process.budget.is_busy(now_ms)
         node.active = active
         report = NodeReport(
             process.card,
@@ -226,7 +226,7 @@
             False,
             1,
             True,
-            spent_by_service=process.budget.all_spent(now_ms),
+            spent_by_service=process.budget.usage_by_service(now_ms),
             active=active,
             retries=process.retries.memory(),
         )
--- a/tests/fleet/test_signs.py
+++ b/tests/fleet/test_signs.py
@@ -17,7 +17,7 @@
 from monsoonflow.fleet.rounds import EVERY_MS, Rounds
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.gateway.budget import SharedRetries
-from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, Spent
+from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, RetryUsage
 from monsoonflow.routing.in_flight import ServerWork
 
 LIFE = ServerLife("i-1")
@@ -61,7 +61,7 @@
             1,
             True,
             work_by_server={LIFE: ServerWork(self.requests)} if self.requests else {},
-            spent_by_service={"s": Spent(self.requests, 0)} if self.requests else {},
+            spent_by_service={"s": RetryUsage(self.requests, 0)} if self.requests else {},
             claims=(claim,) if claim is not None and claim.holder == name else (),
             residency=None,
             active=self.active or name in self.view.duty_names(),
@@ -227,7 +227,7 @@
     newcomer = fleet.idle()[-1]
     budget = FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
     retries = SharedRetries(budget, newcomer.view, fleet.clock)
-    allowed = sum(retries.may_retry("s").allowed for _ in range(430))
+    allowed = sum(retries.may_retry("s").is_allowed for _ in range(430))
     assert 1 <= allowed <= 430 / 30
 
 
@@ -238,7 +238,7 @@
     fleet.run(4_000)
     allowed = 0
     for node in fleet.active():
-        while node.retries.may_retry("s").allowed:
+        while node.retries.may_retry("s").is_allowed:
             allowed += 1
     assert 430 * 0.85 - 40 <= allowed <= 430 * 0.85
 
@@ -251,7 +251,7 @@
 
 def test_a_sign_of_life_survives_the_wire():
     with_card = attrs.evolve(SIGN, card=CARD)
-    spent = attrs.evolve(SIGN, spent_by_service={"s": Spent(9, 2)})
+    spent = attrs.evolve(SIGN, spent_by_service={"s": RetryUsage(9, 2)})
     held = attrs.evolve(SIGN, quarantined=("f1", "f2"))
     for sign in (SIGN, with_card, spent, held, attrs.evolve(SIGN, active=True, leaving=True)):
         assert codec.decode(codec.encode_sign(sign)) == sign
@@ -297,11 +297,11 @@
     """Its checks are sent once more now and then: 165 such nodes have some sixty in ten seconds."""
     view = FleetView("a")
     view.card(CARD)
-    view.heard_sign(attrs.evolve(SIGN, spent_by_service={"s": Spent(9, 2)}), 0)
+    view.heard_sign(attrs.evolve(SIGN, spent_by_service={"s": RetryUsage(9, 2)}), 0)
     budget = FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
     others = SharedRetries(budget, view, ManualClock(100)).others("s")
-    assert others.told == (Spent(9, 2),)
-    assert (others.sharers, others.counted) == (1, 1)
+    assert others.reported == (RetryUsage(9, 2),)
+    assert (others.sharing_nodes, others.connected_nodes) == (1, 1)
 
 
 def test_an_overtaken_sign_is_dropped():
@@ -363,12 +363,12 @@
         life, work = rng.choice(lives), work_by_node[name]
         work[life] = ServerWork(rng.randrange(3), rng.randrange(100))
         if rng.random() < 0.3:
-            told = {life: at for life, at in work.items() if not at.is_nothing()}
+            told = {life: at for life, at in work.items() if not at.is_empty()}
             view.heard(NodeReport(card, step + 1, True, False, 1, True, work_by_server=told), step)
         elif rng.random() < 0.8:
             view.heard_change(WorkChange(name, "b-1", step + 1, {life: work[life]}), step)
     for name, work in work_by_node.items():
-        told = {life: at for life, at in work.items() if not at.is_nothing()}
+        told = {life: at for life, at in work.items() if not at.is_empty()}
         card = attrs.evolve(CARD, name=name)
         view.heard(NodeReport(card, 1_000, True, False, 1, True, work_by_server=told), 500)
     for life in lives:
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -27,7 +27,7 @@
 from monsoonflow.fleet.view import ALIVE_MS, FleetView
 from monsoonflow.gateway.budget import SharedRetries
 from monsoonflow.quarantine.models import Ending
-from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, Spent
+from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, RetryUsage
 from monsoonflow.routing.in_flight import ServerWork
 
 CARD = NodeCard("b", "b-1", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3")
@@ -41,7 +41,7 @@
     work_by_server={
         ServerLife("i-1"): ServerWork(2, 100, 300, Counter({"m/a1": 2}), {1: 60, 6: 40})
     },
-    spent_by_service={"s": Spent(10, 2)},
+    spent_by_service={"s": RetryUsage(10, 2)},
     left_servers=(ServerLife("i-9"),),
     versions=(NamedVersion(AdapterRef("m/a1", 3), 1_200),),
     claims=(DutyClaim("s", "b", 4),),
@@ -133,9 +133,9 @@
     budget = FleetRetryBudget(RetryAllowance(0.2, 54, 10_000))
     retries = SharedRetries(budget, view, clock)
     clock.advance(10_000)
-    assert retries.others("s").past == 2
+    assert retries.others("s").past_retries == 2
     clock.advance(1)
-    assert retries.others("s").past == 0
+    assert retries.others("s").past_retries == 0
 
 
 def test_the_word_of_a_node_that_does_not_hear_this_one_is_no_share_of_it(view):
@@ -143,12 +143,12 @@
     clock = ManualClock()
     retries = SharedRetries(FleetRetryBudget(RetryAllowance(0.2, 54, 10_000)), view, clock)
     others = retries.others("s")
-    assert (others.counted, others.sharers, others.past) == (2, 2, 0)
-    assert others.told == (Spent(10, 2),)
+    assert (others.connected_nodes, others.sharing_nodes, others.past_retries) == (2, 2, 0)
+    assert others.reported == (RetryUsage(10, 2),)
     deaf = RetryMemory(10_000, frozenset({"c"}))
     view.heard(attrs.evolve(REPORT, sequence=8, retries=deaf), 0)
     others = retries.others("s")
-    assert (others.counted, others.sharers, others.past) == (1, 2, 2)
+    assert (others.connected_nodes, others.sharing_nodes, others.past_retries) == (1, 2, 2)
 
 
 def test_a_process_that_starts_again_takes_over_what_others_remember():
@@ -157,11 +157,11 @@
     view = FleetView("a")
     budget = FleetRetryBudget(RetryAllowance(0.2, 54, 10_000), started_ms=5_000)
     retries = SharedRetries(budget, view, clock)
-    assert not retries.others("s").entitled
+    assert not retries.others("s").is_entitled
     memory = RetryMemory(10_000, frozenset({"a"}), {"s": 40}, 1)
     view.heard(attrs.evolve(REPORT, retries=memory), 5_000)
     others = retries.others("s")
-    assert (others.entitled, others.past, others.ended) == (True, 40, 1)
+    assert (others.is_entitled, others.past_retries, others.ended_processes) == (True, 40, 1)
 
 
 @pytest.mark.parametrize("change", [{"active": False}, {"leaving": True}])
@@ -173,7 +173,7 @@
         view.heard(attrs.evolve(REPORT, card=card, **change), 0)
         view.heard(attrs.evolve(REPORT, card=attrs.evolve(card, boot="b-2"), sequence=1), 500)
     budget = FleetRetryBudget(RetryAllowance(0.2, 54, 10_000))
-    assert SharedRetries(budget, view, ManualClock(600)).others("s").ended == 0
+    assert SharedRetries(budget, view, ManualClock(600)).others("s").ended_processes == 0
 
 
 def test_the_retries_of_a_process_that_has_ended_stay_in_the_window(view):
@@ -188,7 +188,7 @@
 def test_work_is_summed_over_the_others(view):
     view.heard(attrs.evolve(REPORT, card=attrs.evolve(CARD, name="c")), 0)
     work = view.work_at(ServerLife("i-1"), 10)
-    assert (work.requests, work.by_adapter["m/a1"]) == (4, 4)
+    assert (work.requests, work.requests_by_adapter["m/a1"]) == (4, 4)
 
 
 def test_the_highest_epoch_names_the_holder(view):
--- a/tests/fleet/test_work_sum.py
+++ b/tests/fleet/test_work_sum.py
@@ -15,7 +15,7 @@
 from monsoonflow.fleet.models import NodeCard, NodeReport
 from monsoonflow.fleet.view import WORK_FADES_MS, FleetView
 from monsoonflow.fleet.work_sum import WorkSum
-from monsoonflow.routing.in_flight import ServerWork, joined
+from monsoonflow.routing.in_flight import ServerWork, sum_work
 
 SERVERS = 12
 ADAPTERS = 6
@@ -33,8 +33,8 @@
 
 
 def _told(work: ServerWork) -> tuple:
-    adapters = {name: count for name, count in work.by_adapter.items() if count}
-    return (work.requests, work.unread_tokens, work.memory_tokens, adapters)
+    adapters = {name: count for name, count in work.requests_by_adapter.items() if count}
+    return (work.requests, work.pending_prefill_tokens, work.memory_tokens, adapters)
 
 
 def _expected(view: FleetView, now_ms: int) -> dict[str, tuple]:
@@ -99,7 +99,7 @@
     life, other, third = map(ServerLife, ("i-1", "i-2", "i-3"))
     others = {life: ServerWork(2, 10, 20, Counter(a=2)), other: ServerWork(1)}
     own = {life: ServerWork(1, 5, 5, Counter(a=1)), third: ServerWork(4)}
-    both = joined(others, own)
+    both = sum_work(others, own)
     assert _told(both[life]) == (3, 15, 25, {"a": 3})
     assert (both[other].requests, both[third].requests) == (1, 4)
     assert (others[life].requests, own[life].requests) == (2, 1)
--- a/tests/gateway/crowd.py
+++ b/tests/gateway/crowd.py
@@ -10,8 +10,8 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.discovery.book import ServerBook
 from monsoonflow.discovery.models import BackendServer, HeldModel
+from monsoonflow.discovery.registry import ServerRegistry
 from monsoonflow.fleet.models import DutyClaim, NodeCard, NodeReport
 from monsoonflow.fleet.rounds import EVERY_MS, Rounds
 from monsoonflow.fleet.view import FleetView
@@ -19,9 +19,9 @@
 from monsoonflow.gateway.engines import EngineChooser
 from monsoonflow.gateway.job import Job
 from monsoonflow.gateway.models import Call, Chosen, NoServer
-from monsoonflow.routing.condition import Conditions
-from monsoonflow.routing.crowded import crowded_runners
+from monsoonflow.routing.health import HealthTracker
 from monsoonflow.routing.in_flight import InFlight, ServerWork, Ticket
+from monsoonflow.routing.overload import overloaded_runners
 from monsoonflow.routing.routes import EngineTraits, Route, RouteKind, Service, Target
 from monsoonflow.transport.models import Request
 
@@ -41,7 +41,7 @@
     timeout_ms=5_054,
     objective_ms=1_011,
     priority=1,
-    first_event_by_ms=LEAVES_MS,
+    first_event_timeout_ms=LEAVES_MS,
 )
 
 
@@ -97,7 +97,7 @@
         """Return its word about itself, as it would arrive: a copy."""
         self.sequence += 1
         work = {}
-        for life, at in self.in_flight.by_server.items():
+        for life, at in self.in_flight.work_by_server.items():
             work[life] = ServerWork()
             work[life].add(at)
         report = NodeReport(self.card, self.sequence, True, False, 1, True, work_by_server=work)
@@ -111,7 +111,7 @@
         for life in {life for r in self.view.reports(now_ms, 2_000) for life in r.work_by_server}:
             total[life] = self.backlog.work_at(life, "s", now_ms)
         pace = self.backlog.pace.tokens_per_ms(None, now_ms)
-        return attrs.evolve(report, claims=(claim,), crowded=crowded_runners(total, pace))
+        return attrs.evolve(report, claims=(claim,), crowded=overloaded_runners(total, pace))
 
 
 @attrs.define
@@ -137,7 +137,7 @@
     waits_ms: list[int] = attrs.Factory(list)
 
     def __attrs_post_init__(self) -> None:
-        book = ServerBook()
+        book = ServerRegistry()
         for number, life in enumerate(self.lives, start=1):
             address = f"1.1.1.{number}:1"
             book.put(BackendServer(life, "s", address, "dc", 96, models=(HeldModel("m"),)), 0)
@@ -147,11 +147,11 @@
             for other in self.nodes:
                 node.view.card(other.card)
 
-    def _node(self, name: str, book: ServerBook) -> Node:
+    def _node(self, name: str, book: ServerRegistry) -> Node:
         view, in_flight = FleetView(name), InFlight()
         backlog = Backlog(in_flight, view)
         chooser = EngineChooser(
-            book, backlog, Conditions(), self.placement, self.clock, self.rng, "dc"
+            book, backlog, HealthTracker(), self.placement, self.clock, self.rng, "dc"
         )
         card = NodeCard(name, "b", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3")
         return Node(card, view, in_flight, backlog, chooser, Rounds(name))
--- a/tests/gateway/test_comes_back.py
+++ b/tests/gateway/test_comes_back.py
@@ -16,8 +16,8 @@
 from monsoonflow.gateway.models import NoServer
 from monsoonflow.gateway.record import Record
 from monsoonflow.platform.headers import HeaderDialect
+from monsoonflow.routing.caller_timeouts import TypicalCallerTimeouts
 from monsoonflow.routing.in_flight import InFlight
-from monsoonflow.routing.patience import UsualDeadlines
 from monsoonflow.routing.routes import Route, RouteKind, RouteTable, Service, Target
 from monsoonflow.transport.client import Pools
 from monsoonflow.transport.models import MessageLimits, Request
@@ -116,17 +116,17 @@
 
 def test_many_that_come_back_do_not_pass_for_first_ones():
     """In a rush nine of ten requests are repetitions: the tenth still tells the usual deadline."""
-    usual = UsualDeadlines()
-    waited = [usual.waited_ms("r", 4_000 if i % 8 == 0 else 1_500) for i in range(200)]
+    usual = TypicalCallerTimeouts()
+    waited = [usual.estimate_waited_ms("r", 4_000 if i % 8 == 0 else 1_500) for i in range(200)]
     assert waited[-1] == 2_500
 
 
 def test_one_caller_with_a_long_deadline_does_not_age_the_others():
     """A batch job names a minute where all others name 4 s: they are not 56 s old."""
-    usual = UsualDeadlines()
+    usual = TypicalCallerTimeouts()
     for i in range(100):
-        waited_ms = usual.waited_ms("r", 60_000 if i % 25 == 24 else 4_000)
-    assert usual.waited_ms("r", 4_000) == 0 and waited_ms == 0
+        waited_ms = usual.estimate_waited_ms("r", 60_000 if i % 25 == 24 else 4_000)
+    assert usual.estimate_waited_ms("r", 4_000) == 0 and waited_ms == 0
 
 
 def test_callers_that_wait_differently_long_are_all_new(gateway: Gateway, chooser: NoPlaces):
--- a/tests/gateway/test_offer.py
+++ b/tests/gateway/test_offer.py
@@ -9,8 +9,8 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.discovery.book import ServerBook
 from monsoonflow.discovery.models import BackendServer
+from monsoonflow.discovery.registry import ServerRegistry
 from monsoonflow.gateway.models import Call, Chosen, Unsent
 from monsoonflow.gateway.offer import Offer
 from monsoonflow.platform.headers import HeaderDialect
@@ -68,7 +68,7 @@
         """Tell that the caller is there."""
 
 
-def offer_over(pools: SlowConnection, book: ServerBook) -> Offer:
+def offer_over(pools: SlowConnection, book: ServerRegistry) -> Offer:
     return Offer(
         pools,
         HeaderDialect(),
@@ -76,7 +76,7 @@
         Call("r", "h", "/a/"),
         4_000,
         4_000,
-        may_send=lambda: book.takes_work(LIFE),
+        may_send=lambda: book.is_accepting_work(LIFE),
     )
 
 
@@ -86,9 +86,9 @@
     Meanwhile it learns that the server leaves. What was chosen 1.9 s after that word of the server
     reached it 2.4 s after, 0.4 s beyond the bound.
     """
-    book = ServerBook()
+    book = ServerRegistry()
     book.put(BackendServer(LIFE, "s", "10.0.0.1:80", "dc"), 0)
-    pools = SlowConnection(ManualClock(1_000), lambda: book.left(LIFE, 1_400, "said so"))
+    pools = SlowConnection(ManualClock(1_000), lambda: book.mark_leaving(LIFE, 1_400, "said so"))
     result = offer_over(pools, book).send(
         Chosen(LIFE, "10.0.0.1:80"), lambda: b"head", Caller(), None
     )
@@ -98,7 +98,7 @@
 
 
 def test_a_server_that_stays_gets_what_was_chosen_for_it():
-    book = ServerBook()
+    book = ServerRegistry()
     book.put(BackendServer(LIFE, "s", "10.0.0.1:80", "dc"), 0)
     pools = SlowConnection(ManualClock(1_000), lambda: None)
     offer_over(pools, book).send(Chosen(LIFE, "10.0.0.1:80"), lambda: b"head", Caller(), None)
--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -24,7 +24,7 @@
 
 MODEL = "m"
 TRAITS = EngineTraits(
-    batch=96,
+    max_batch_size=96,
     memory_tokens=100_000,
     weights_mb=35_200,
     adapter_slots=6,
@@ -178,12 +178,12 @@
         """Let requests be in progress."""
         work = self.work.setdefault(life, ServerWork())
         work.requests += requests
-        work.unread_tokens += unread
-        work.by_adapter[f"{MODEL}/{name}"] += requests
+        work.pending_prefill_tokens += unread
+        work.requests_by_adapter[f"{MODEL}/{name}"] += requests
 
     def free(self, life: ServerLife, name: str) -> None:
         """Let them end."""
-        self.work[life].by_adapter.pop(f"{MODEL}/{name}")
+        self.work[life].requests_by_adapter.pop(f"{MODEL}/{name}")
 
     def placed(self, tag: str) -> str | None:
         """Return where a request was placed."""
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -131,7 +131,11 @@
     server = decoded({**ENTRY, name: value})
     if isinstance(server, str):
         return
-    kept = {"service": server.service, "address": server.address, "slots": server.slots}
+    kept = {
+        "service": server.service,
+        "address": server.address,
+        "slots": server.max_concurrent_requests,
+    }
     if name in kept:
         assert kept[name] == value
         assert type(kept[name]) is type(value)
@@ -174,7 +178,7 @@
         assert table.version == value
     for route in table.routes():
         assert isinstance(route.host, str)
-        assert isinstance(route.attempts, int)
+        assert isinstance(route.max_attempts, int)
 
 
 @pytest.mark.parametrize("version", ["2", True, 1.5, 0, -1, None, [], 2**70])
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -138,10 +138,10 @@
     table = decode_routes(orjson.dumps(CONFIG))
     route = table.match("h.example", "/read/x")
     assert route.kind is RouteKind.STREAM
-    assert (route.resumable, route.repeatable, route.pause_ms) == (True, True, 400)
-    assert not table.match("h.example", "/once/x").repeatable
-    assert not table.match("h.example", "/write/x").repeatable
-    assert table.service_by_name["llm"].engine.model("m").memory_mb == 34_300
+    assert (route.is_resumable, route.is_repeatable, route.max_event_gap_ms) == (True, True, 400)
+    assert not table.match("h.example", "/once/x").is_repeatable
+    assert not table.match("h.example", "/write/x").is_repeatable
+    assert table.service_by_name["llm"].engine.find_model("m").memory_mb == 34_300
     assert table.limits.body_bytes == 100_000
 
 
@@ -201,8 +201,8 @@
         }
     )
     server = decode_server("i-1", body)
-    assert server.leaving
-    assert server.leaves_in_ms == 1_500
+    assert server.is_leaving
+    assert server.leaving_in_ms == 1_500
     assert server.models[0].adapters == (AdapterRef("m/a1", 2),)
 
 
--- a/tests/randomised/network.py
+++ b/tests/randomised/network.py
@@ -8,7 +8,7 @@
 import attrs
 import orjson
 
-from monsoonflow.address.choice import order_nodes
+from monsoonflow.address.node_order import order_nodes
 from monsoonflow.backend.models import (
     Began,
     Broken,
--- a/tests/randomised/orders.py
+++ b/tests/randomised/orders.py
@@ -165,7 +165,7 @@
         for use in self.uses:
             at = work.setdefault(use.life, ServerWork())
             at.requests += 1
-            at.by_adapter[use.name] += 1
+            at.requests_by_adapter[use.name] += 1
         return work
 
     def _send(self, step: Step, lost: float) -> None:
--- a/tests/randomised/without.py
+++ b/tests/randomised/without.py
@@ -101,7 +101,7 @@
 def offered_once() -> None:
     """Try again what may not be repeated, without a budget."""
     _no_invariants()
-    replace(RetryBudget, "spend", lambda _self: True)
+    replace(RetryBudget, "try_spend", lambda _self: True)
     original = life_module.RequestLife._after_loss
 
     def after_loss(self: Any, reason: str, ran: bool) -> Any:
--- a/tests/routing/test_in_flight.py
+++ b/tests/routing/test_in_flight.py
@@ -9,12 +9,12 @@
     work = InFlight()
     urgent = work.begin("i", 0, "m/a", 100, 150, 0)
     late = work.begin("i", 0, "m/a", 30, 80, 6)
-    assert [work.at("i").unread_ahead(rank) for rank in (0, 1, 6)] == [100, 100, 130]
-    work.first_event(urgent)
-    assert work.at("i").unread_ahead(1) == 0
+    assert [work.work_at("i").pending_prefill_ahead(rank) for rank in (0, 1, 6)] == [100, 100, 130]
+    work.record_first_event(urgent)
+    assert work.work_at("i").pending_prefill_ahead(1) == 0
     work.end(urgent)
     work.end(late)
-    assert work.by_server == {}
+    assert work.work_by_server == {}
 
 
 def test_all_counts_return_to_nothing():
@@ -22,13 +22,13 @@
     work = InFlight(lambda: changes.append(True))
     one = work.begin("i", 0, "m/a", 100, 150)
     two = work.begin("i", 0, "m/a", 50, 80)
-    assert work.at("i").unread_tokens == 150
-    work.first_event(one)
-    work.first_event(one)
-    assert work.at("i").unread_tokens == 50
+    assert work.work_at("i").pending_prefill_tokens == 150
+    work.record_first_event(one)
+    work.record_first_event(one)
+    assert work.work_at("i").pending_prefill_tokens == 50
     work.end(one)
     work.end(one)
-    assert work.at("i").by_adapter["m/a"] == 1
+    assert work.work_at("i").requests_by_adapter["m/a"] == 1
     work.end(two)
-    assert work.by_server == {}
+    assert work.work_by_server == {}
     assert len(changes) == 2
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -6,20 +6,26 @@
 
 import pytest
 
-from monsoonflow.routing.keys import KeyBook, KeyClash, KeysFull, KnownKey, NewKey
+from monsoonflow.routing.balancer import LeastCallsBalancer
+from monsoonflow.routing.idempotency_keys import (
+    IdempotencyKeys,
+    KeyConflict,
+    KeysFull,
+    KnownKey,
+    NewKey,
+)
 from monsoonflow.routing.limits import Admission, Limits, RetryBudget
-from monsoonflow.routing.servers import ServerChoice
 
 
 @pytest.fixture
 def keys():
-    return KeyBook(keep_ms=1_000, max_keys=2)
+    return IdempotencyKeys(retention_ms=1_000, max_keys=2)
 
 
 def test_key_stands_for_one_request(keys):
     assert keys.admit("acme", "k", b"body", "r1", 0) == NewKey()
     assert keys.admit("acme", "k", b"body", "r2", 10) == KnownKey("r1")
-    assert keys.admit("acme", "k", b"other", "r3", 20) == KeyClash()
+    assert keys.admit("acme", "k", b"other", "r3", 20) == KeyConflict()
 
 
 def test_keys_of_customers_never_meet(keys):
@@ -40,13 +46,13 @@
 
 def test_key_of_what_did_not_run_is_free_again(keys):
     keys.admit("acme", "k", b"body", "r1", 0)
-    keys.ended("acme", "k", 5, ran=False)
+    keys.record_end("acme", "k", 5, has_run=False)
     assert keys.admit("acme", "k", b"body", "r2", 10) == NewKey()
 
 
 def test_ended_key_is_kept_for_its_time(keys):
     keys.admit("acme", "k", b"body", "r1", 0)
-    keys.ended("acme", "k", 100, ran=True)
+    keys.record_end("acme", "k", 100, has_run=True)
     assert keys.admit("acme", "k", b"body", "r2", 1_000) == KnownKey("r1")
     assert keys.admit("acme", "k", b"body", "r3", 1_200) == NewKey()
 
@@ -54,39 +60,39 @@
 def test_refusal_is_at_once_and_tells_when_to_come_back():
     admission = Admission(Limits(max_queue_per_runner=10, max_per_customer=5))
     for number in range(100):
-        admission.began("x")
-        admission.ended("x")
-        admission.drained("m1", 50, number * 100)
-    refusal = admission.admit("acme", "m1", 10, 60_000, 10_000)
+        admission.record_start("x")
+        admission.record_end("x")
+        admission.record_run_end("m1", 50, number * 100)
+    refusal = admission.check("acme", "m1", 10, 60_000, 10_000)
     assert refusal.reason == "the queue is full"
     assert 250 <= refusal.retry_after_ms <= 1_000
-    assert admission.run_ms("m1") == 50
-    late = admission.admit("acme", "m1", 9, 300, 10_000)
+    assert admission.mean_run_ms("m1") == 50
+    late = admission.check("acme", "m1", 9, 300, 10_000)
     assert late.reason == "the queue is longer than the time left"
-    assert admission.admit("acme", "m1", 3, 60_000, 10_000) is None
+    assert admission.check("acme", "m1", 3, 60_000, 10_000) is None
 
 
 def test_customer_can_hold_only_so_many_requests():
     admission = Admission(Limits(max_per_customer=1))
-    admission.began("acme")
-    assert admission.admit("acme", "m1", 0, 1_000, 0).status == 429
-    assert admission.admit("other", "m1", 0, 1_000, 0) is None
+    admission.record_start("acme")
+    assert admission.check("acme", "m1", 0, 1_000, 0).status == 429
+    assert admission.check("other", "m1", 0, 1_000, 0) is None
 
 
 def test_retries_are_a_share_of_first_tries():
     budget = RetryBudget(share=0.1, reserve=2)
-    spent = sum(budget.spend() for _ in range(10))
+    spent = sum(budget.try_spend() for _ in range(10))
     for _ in range(100):
-        budget.first_try()
+        budget.record_first_attempt()
     assert spent == 2
-    assert sum(budget.spend() for _ in range(10)) == 2
+    assert sum(budget.try_spend() for _ in range(10)) == 2
 
 
 def test_server_with_fewest_own_calls_is_chosen():
-    choice = ServerChoice(random.Random(1))
+    choice = LeastCallsBalancer(random.Random(1))
     first = choice.pick(["a", "b"])
     second = choice.pick(["a", "b"])
     assert {first, second} == {"a", "b"}
-    choice.ended(first)
+    choice.record_end(first)
     assert choice.pick(["a", "b"]) == first
     assert choice.pick([]) is None
