--- a/tests/entry/test_pass_through.py
+++ b/tests/entry/test_pass_through.py
@@ -111,7 +111,7 @@
     first, second = fleet.servers
     first.faults.lose = 9
     second.faults.shed = 100
-    one.daemon.conditions.ended("i-2", False, 10, one.daemon.clock.now_ms())
+    one.daemon.conditions.record_result("i-2", False, 10, one.daemon.clock.now_ms())
     answer = fleet.ask(one, "/look/x", "r1", deadline_ms=500)
     assert 1 <= first.ran["r1"] <= 2
     assert answer.head.status in (502, 504)
@@ -229,7 +229,7 @@
     """
     hanging, good = fleet.servers
     for _ in range(9):
-        one.daemon.conditions.ended(ServerLife("i-1"), True, 1, one.daemon.clock.now_ms())
+        one.daemon.conditions.record_result(ServerLife("i-1"), True, 1, one.daemon.clock.now_ms())
     hanging.faults.slow_ms = 30_000
     began = gevent.get_hub().loop.now()
     answers = [fleet.ask(one, "/look/x", f"r{number}") for number in range(12)]
