--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -24,8 +24,8 @@
 from monsoonflow.membership.view import Membership, Peer
 from monsoonflow.node.served import Served
 from monsoonflow.ownership.models import LeaseRow
-from monsoonflow.placement.choice import choose_runner
 from monsoonflow.placement.models import PlacementTuning, RunnerView
+from monsoonflow.placement.runner_selection import choose_runner
 from monsoonflow.request.life import RequestLife
 from monsoonflow.request.models import Terms
 from monsoonflow.rpc import control_pb2 as pb
--- a/measure/desk.py
+++ b/measure/desk.py
@@ -25,7 +25,7 @@
 from monsoonflow.fleet import codec  # noqa: E402
 from monsoonflow.fleet.rounds import EVERY_MS  # noqa: E402
 from monsoonflow.fleet.view import FleetView  # noqa: E402
-from monsoonflow.placement.desk import Desk  # noqa: E402
+from monsoonflow.placement.scheduler import AdapterScheduler  # noqa: E402
 
 SIZES: Final = (Size(7, 6), Size(89, 45), Size(89, 90))
 WARM_UP_S: Final = 3.0
@@ -36,9 +36,9 @@
     ("decoding reports", codec, "decode"),
     ("taking reports", FleetView, "heard"),
     ("adding up work", Duties, "_work"),
-    ("asking", Desk, "ask"),
-    ("settling", Desk, "settle_waiters"),
-    ("planning", Desk, "plan"),
+    ("asking", AdapterScheduler, "request_slot"),
+    ("settling", AdapterScheduler, "process_queue"),
+    ("planning", AdapterScheduler, "plan"),
     ("telling what runners hold", Duties, "told_residency"),
     ("telling what runners hold", OwnWord, "news"),
     ("telling what runners hold", Residency, "take"),
@@ -91,7 +91,7 @@
 def _sample_for_good(load: HolderLoad, waiting: list[int]) -> None:
     while True:
         gevent.sleep(SAMPLE_S)
-        waiting.append(len(load.duty.desk.waiters))
+        waiting.append(len(load.duty.desk.queued_requests))
 
 
 def _measure(size: Size, meter: Meter, profile: cProfile.Profile | None) -> None:
--- a/measure/desk_load.py
+++ b/measure/desk_load.py
@@ -26,8 +26,8 @@
 from monsoonflow.fleet.rounds import EVERY_MS
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.helpers.gevent_tasks import GeventTasks
-from monsoonflow.orders.models import Order, OrderAnswer, RunnerReport
-from monsoonflow.placement.seats import Step
+from monsoonflow.orders.models import Order, OrderResult, RunnerReport
+from monsoonflow.placement.slots import OrderStep
 from monsoonflow.routing.in_flight import InFlight
 from monsoonflow.routing.routes import EngineTraits, Service
 from tests.placement.conftest import MODEL, TRAITS, FakeRunner
@@ -74,18 +74,18 @@
         self._clock = clock
         self._runners = runners
 
-    def report(self, life: ServerLife, address: str) -> RunnerReport:
+    def fetch_report(self, life: ServerLife, address: str) -> RunnerReport:
         gevent.sleep(ROUND_TRIP_MS / 1000)
         runner = self._runners[life]
         runner.settle(self._clock.now_ms())
         return runner.report()
 
-    def order(self, life: ServerLife, address: str, order: Order) -> OrderAnswer:
+    def send_order(self, life: ServerLife, address: str, order: Order) -> OrderResult:
         gevent.sleep(ROUND_TRIP_MS / 1000)
-        step = Step(life, order.operation, order.name, order.version, order.sequence)
+        step = OrderStep(life, order.operation, order.name, order.version, order.sequence)
         return self._runners[life].order(step, self._clock.now_ms())
 
-    def forget(self, address: str) -> None:
+    def close_connections(self, address: str) -> None:
         """Runners keep no connections here."""
 
 
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -8,8 +8,8 @@
 import attrs
 
 from monsoonflow.core.adapter import AdapterRef, short_hash
-from monsoonflow.placement.choice import choose_runner
 from monsoonflow.placement.models import PlacementTuning, RunnerView
+from monsoonflow.placement.runner_selection import choose_runner
 from monsoonflow.placement.spread import SpreadTuning
 from monsoonflow.runner.aggregate import Runner
 from monsoonflow.runner.models import AdapterQueue, LoadCandidate, Slot, Waiting, Weights
--- a/measure/policy_world.py
+++ b/measure/policy_world.py
@@ -9,9 +9,9 @@
 import attrs
 
 from monsoonflow.core.adapter import AdapterRef
-from monsoonflow.placement.choice import view_of
-from monsoonflow.placement.load_order import LoadOrder
+from monsoonflow.placement.load_priority import LoadPrioritizer
 from monsoonflow.placement.models import RunnerView
+from monsoonflow.placement.runner_selection import build_runner_view
 from monsoonflow.placement.spread import Spread, demand_of, runners_in_use
 from monsoonflow.runner.aggregate import Runner
 from monsoonflow.runner.const import Permission
@@ -62,7 +62,7 @@
         self.view_by_id = {
             name: RunnerView(name, "base", place.slots, place.max_batch) for name in names
         }
-        self.order = LoadOrder(policy.background_every)
+        self.order = LoadPrioritizer(policy.background_every)
         self.spread = Spread(policy.spread)
         self.in_use = list(names)
         self.jobs: dict[str, Job] = {}
@@ -94,7 +94,7 @@
     def _arrive(self, request: Request) -> None:
         views = {name: self.view_by_id[name] for name in self.in_use}
         runner_id = self.policy.choose(request.adapter, views, self.rng)
-        self.view_by_id[runner_id].sent_since += 1
+        self.view_by_id[runner_id].sent_since_report += 1
         runner = self.runner_by_id[runner_id]
         job = Job(request, runner_id, request.tokens)
         if request.adapter in runner.resident():
@@ -156,7 +156,7 @@
             return
         chosen = self.order.pick(candidates)
         assert chosen is not None
-        self.order.granted(chosen)
+        self.order.record_grant(chosen)
         runner = self.runner_by_id[chosen.runner_id]
         self._carry_out(runner, runner.start_load(chosen.adapter, self.now_ms, ALL))
 
@@ -224,7 +224,7 @@
     def _report(self) -> None:
         """Let every runner's state be known, as old as the workload says."""
         for name, runner in self.runner_by_id.items():
-            self.view_by_id[name] = view_of(runner, "base", self.now_ms, True)
+            self.view_by_id[name] = build_runner_view(runner, "base", self.now_ms, True)
         self._respread()
         if self.now_ms < self.workload.requests[-1].at_ms + TAIL_MS:
             self._at(self.now_ms + self.workload.lag_ms, self._report)
--- a/monsoonflow/configuration/planner.py
+++ b/monsoonflow/configuration/planner.py
@@ -10,7 +10,7 @@
 import attrs
 
 from ..core.adapter import MAX_VERSION, NAME_PATTERN
-from ..placement.load_order import BACKGROUND_EVERY
+from ..placement.load_priority import BACKGROUND_EVERY
 from .aggregate import Configuration
 from .models import (
     Adapter,
--- a/monsoonflow/entry/duties.py
+++ b/monsoonflow/entry/duties.py
@@ -13,9 +13,9 @@
 from ..core.server_life import ServerLife
 from ..fleet.models import DutyClaim, HeldAdapters
 from ..orders.models import Accepted, Gone, Order, RunnerControl, Superseded
-from ..placement.desk import Desk
-from ..placement.seats import SeatState, Step
-from ..placement.waiting import NoPlace, Placed, Waiter
+from ..placement.request_queue import NoSlot, Placed, QueuedRequest
+from ..placement.scheduler import AdapterScheduler
+from ..placement.slots import OrderStep, SlotState
 from ..routing.in_flight import ServerWork, sum_work
 from ..routing.overload import OverloadedRunners, overloaded_runners
 from ..routing.routes import Service
@@ -73,7 +73,7 @@
         self.service = service
         self.loop = loop
         self.newest = newest
-        self.desk: Desk | None = None
+        self.desk: AdapterScheduler | None = None
         self.epoch = 0
         self.summarised_ms = 0
         self.settled_ms = 0
@@ -193,7 +193,7 @@
         """Take that a runner lacks an adapter: what its desk believes of it is looked at again."""
         for duty in self._duty_by_cell.values():
             if duty.desk is not None:
-                duty.desk.doubt(life, adapter, self._daemon.clock.now_ms())
+                duty.desk.mark_unconfirmed(life, adapter, self._daemon.clock.now_ms())
                 self.wake()
 
     def answer_placement(self, request: Request, reply: Reply) -> None:
@@ -214,39 +214,39 @@
             case Placed(life=life, version=version, tried_ms=tried_ms):
                 told = {"server": life, "version": version, "tried_ms": tried_ms}
                 reply.whole(200, [], orjson.dumps(told))
-            case NoPlace(retry_after_ms=retry_after_ms):
+            case NoSlot(retry_after_ms=retry_after_ms):
                 reply.whole(429, [], orjson.dumps({"retry_after_ms": retry_after_ms}))
             case None:
                 reply.whole(503, [], b"{}")
 
-    def ask_desk(self, duty: Duty, question: dict[str, Any]) -> Placed | NoPlace | None:
+    def ask_desk(self, duty: Duty, question: dict[str, Any]) -> Placed | NoSlot | None:
         """Let a request wait at this node's desk until it has a place or is refused."""
         now_ms = self._daemon.clock.now_ms()
         result: AsyncResult = AsyncResult()
-        waiter = Waiter(
-            name=question["adapter"],
-            version=question["version"],
+        waiter = QueuedRequest(
+            adapter_name=question["adapter"],
+            min_version=question["version"],
             priority=question["priority"],
-            since_ms=now_ms - question["waited_ms"] - question["tried_ms"],
+            first_attempt_ms=now_ms - question["waited_ms"] - question["tried_ms"],
             on_time_until_ms=now_ms + question["on_time_ms"],
-            until_ms=now_ms + question["wait_ms"],
-            avoid=frozenset(question["avoid"]),
-            settle=result.set,
-            session=question["session"],
+            deadline_ms=now_ms + question["wait_ms"],
+            excluded_runners=frozenset(question["avoid"]),
+            on_result=result.set,
+            session_key=question["session"],
             tried_ms=question["tried_ms"],
             **_reading(question, now_ms),
         )
         desk = duty.desk
         for life in question["lacking"]:
-            desk.doubt(ServerLife(life), waiter.name, now_ms)
-        desk.ask(waiter, now_ms, self._work())
+            desk.mark_unconfirmed(ServerLife(life), waiter.adapter_name, now_ms)
+        desk.request_slot(waiter, now_ms, self._work())
         self.wake()
         try:
             return result.get(timeout=question["wait_ms"] / 1000)
         except gevent.Timeout:
-            return NoPlace(REFUSED_RETRY_MS)
+            return NoSlot(REFUSED_RETRY_MS)
         finally:
-            desk.forget(waiter, self._daemon.clock.now_ms())
+            desk.remove_request(waiter, self._daemon.clock.now_ms())
 
     def _lease_for_good(self) -> None:
         while True:
@@ -325,7 +325,7 @@
         epoch = duty.loop.held.row.epoch
         duty.epoch = epoch
         if duty.desk is None:
-            duty.desk = Desk(
+            duty.desk = AdapterScheduler(
                 duty.service.engine,
                 self._daemon.beliefs.version_by_adapter,
                 self._daemon.settings.bounds.load_window_ms,
@@ -335,11 +335,11 @@
         desk = duty.desk
         present = {s.life for s in self._daemon.beliefs.book.servers_of(duty.service.name)}
         for life in present - desk.runners.keys():
-            desk.came(
+            desk.add_runner(
                 life, self.residency.history(life), self._daemon.beliefs.book.restarted_ms(life)
             )
         for life in [known for known in desk.runners if known not in present]:
-            desk.gone(life)
+            desk.remove_runner(life)
             self.residency.forget(life)
         return True
 
@@ -349,12 +349,12 @@
 
     def _plan(self, duty: Duty, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
         desk = duty.desk
-        for life in desk.wants_report(now_ms):
-            desk.runners[life].ordering = True
+        for life in desk.runners_needing_report(now_ms):
+            desk.runners[life].has_call_in_progress = True
             self._daemon.tasks.spawn(self._report, duty, desk, life)
         if now_ms - duty.settled_ms >= SETTLE_EVERY_MS:
             duty.settled_ms = now_ms
-            desk.settle_waiters(now_ms, work)
+            desk.process_queue(now_ms, work)
         for step in desk.plan(now_ms, work):
             self._daemon.tasks.spawn(self._order, duty, desk, step)
         self.residency.take(duty.own_word.news(desk, now_ms))
@@ -363,43 +363,44 @@
             self._summarise(duty, desk, now_ms, work)
 
     def _summarise(
-        self, duty: Duty, desk: Desk, now_ms: int, work: dict[ServerLife, ServerWork]
+        self, duty: Duty, desk: AdapterScheduler, now_ms: int, work: dict[ServerLife, ServerWork]
     ) -> None:
         """Log how full the runners' seats are: the first question when requests wait."""
-        seats = [seat for runner in desk.runners.values() for seat in runner.seats.values()]
+        seats = [seat for runner in desk.runners.values() for seat in runner.slots.values()]
         used = {(life, name) for life, w in work.items() for name in w.requests_by_adapter}
         in_use = sum(
-            (runner.life, name) in used for runner in desk.runners.values() for name in runner.seats
+            (runner.life, name) in used for runner in desk.runners.values() for name in runner.slots
         )
         log(
             _LOGGER,
             events.Seats(
                 cell=duty.service.name,
                 runners=len(desk.runners),
-                known=sum(runner.known() for runner in desk.runners.values()),
-                places=sum(runner.slots for runner in desk.runners.values()),
+                known=sum(runner.is_known() for runner in desk.runners.values()),
+                places=sum(runner.slot_count for runner in desk.runners.values()),
                 taken=len(seats),
                 in_use=in_use,
-                loading=sum(seat.state is SeatState.LOADING for seat in seats),
-                dropping=sum(seat.state is SeatState.DROPPING for seat in seats),
-                doubtful=sum(r.doubtful is not None for r in desk.runners.values()),
-                waiting=len(desk.waiters),
-                oldest_ms=now_ms - min((w.since_ms for w in desk.waiters), default=now_ms),
+                loading=sum(seat.state is SlotState.LOADING for seat in seats),
+                dropping=sum(seat.state is SlotState.UNLOADING for seat in seats),
+                doubtful=sum(r.unconfirmed_order is not None for r in desk.runners.values()),
+                waiting=len(desk.queued_requests),
+                oldest_ms=now_ms
+                - min((w.first_attempt_ms for w in desk.queued_requests), default=now_ms),
                 requests=sum(w.requests for sid, w in work.items() if sid in desk.runners),
                 unread=sum(
                     w.pending_prefill_tokens for sid, w in work.items() if sid in desk.runners
                 ),
-                loads=desk.loads,
-                cold=desk.cold_loads,
-                copies=desk.copies,
+                loads=desk.load_count,
+                cold=desk.cold_load_count,
+                copies=desk.replica_load_count,
                 fetch_limit=desk.load_limit.limit,
                 fetch_ms=desk.load_limit.full_speed_ms,
             ),
         )
 
-    def _report(self, duty: Duty, desk: Desk, life: ServerLife) -> None:
+    def _report(self, duty: Duty, desk: AdapterScheduler, life: ServerLife) -> None:
         server = self._daemon.beliefs.book.server_by_life.get(life)
-        report = self._control.report(life, server.address) if server is not None else None
+        report = self._control.fetch_report(life, server.address) if server is not None else None
         if isinstance(report, Gone):
             self._gone(desk, life)
             return
@@ -408,18 +409,18 @@
         if report is not None and not book.confirm_life(report.life, report.models, now_ms):
             # Another life speaks: the one that is known, or one before it, is no more.
             report = None
-        desk.reported(life, report, now_ms)
+        desk.handle_report(life, report, now_ms)
         duty.settled_ms = 0
         self.wake()
 
-    def _order(self, duty: Duty, desk: Desk, step: Step) -> None:
+    def _order(self, duty: Duty, desk: AdapterScheduler, step: OrderStep) -> None:
         daemon = self._daemon
         server = daemon.beliefs.book.server_by_life.get(step.life)
         if server is None or desk is not duty.desk:
             return
         # Looked at once more right before the send: the duty may have lapsed since the plan.
         if not duty.loop.holds(daemon.clock.now_ms()):
-            desk.runners[step.life].ordering = False
+            desk.runners[step.life].has_call_in_progress = False
             return
         order = Order(
             step.operation,
@@ -430,13 +431,13 @@
             duty.epoch,
         )
         sent_ms = daemon.clock.now_ms()
-        answer = self._control.order(step.life, server.address, order)
+        answer = self._control.send_order(step.life, server.address, order)
         if isinstance(answer, Gone):
             self._gone(desk, step.life)
         now_ms = daemon.clock.now_ms()
         daemon.metrics.orders.labels(step.operation.value, type(answer).__name__.lower()).inc()
         daemon.metrics.order_time.observe((now_ms - sent_ms) / 1000)
-        if not step.confirms:
+        if not step.is_confirmation:
             log(
                 _LOGGER,
                 events.Order(
@@ -450,20 +451,20 @@
                     cause=getattr(answer, "reason", None),
                 ),
             )
-        if not desk.answered(step, answer, now_ms) and isinstance(answer, Superseded):
+        if not desk.handle_order_result(step, answer, now_ms) and isinstance(answer, Superseded):
             duty.loop.superseded()
             duty.close()
         elif isinstance(answer, Accepted) and answer.complete:
-            desk.settle_adapter(step.name, now_ms, self._work())
+            desk.process_queue_for_adapter(step.name, now_ms, self._work())
         self.wake()
 
-    def _gone(self, desk: Desk, life: ServerLife) -> None:
+    def _gone(self, desk: AdapterScheduler, life: ServerLife) -> None:
         """Take that another server answers at a runner's address."""
         beliefs = self._daemon.beliefs
         beliefs.book.mark_leaving(
             life, self._daemon.clock.now_ms(), "another server at its address"
         )
-        desk.gone(life)
+        desk.remove_runner(life)
 
     def _take_told(self, now_ms: int) -> None:
         """Take what the holders of other cells told of their runners."""
--- a/monsoonflow/entry/own_word.py
+++ b/monsoonflow/entry/own_word.py
@@ -6,8 +6,8 @@
 
 from ..core.server_life import ServerLife
 from ..fleet.models import HeldAdapters
-from ..placement.desk import Desk
-from ..placement.seats import RunnerSeats, SeatState
+from ..placement.scheduler import AdapterScheduler
+from ..placement.slots import RunnerSlots, SlotState
 
 ALL_EVERY_MS: Final = 100
 """How often this node is told all again, as often as a quiet holder plans: that mends what its own
@@ -26,13 +26,13 @@
         self._taken_by_life: dict[ServerLife, HeldAdapters] = {}
         self._all_ms: int | None = None
 
-    def of(self, desk: Desk) -> tuple[HeldAdapters, ...]:
+    def of(self, desk: AdapterScheduler) -> tuple[HeldAdapters, ...]:
         """Return what all known runners of a desk can serve now."""
-        words = {r.life: self._word(r) for r in desk.runners.values() if r.known()}
+        words = {r.life: self._word(r) for r in desk.runners.values() if r.is_known()}
         self._word_by_life = words
         return tuple(words.values())
 
-    def news(self, desk: Desk, now_ms: int) -> tuple[HeldAdapters, ...]:
+    def news(self, desk: AdapterScheduler, now_ms: int) -> tuple[HeldAdapters, ...]:
         """Return what has changed since this was last asked, and all of it at times."""
         words = self.of(desk)
         taken, self._taken_by_life = self._taken_by_life, self._word_by_life
@@ -41,9 +41,9 @@
             return words
         return tuple(word for word in words if taken.get(word.life) is not word)
 
-    def _word(self, runner: RunnerSeats) -> HeldAdapters:
-        ready = SeatState.READY
-        refs = tuple([seat.ref for seat in runner.seats.values() if seat.state is ready])
+    def _word(self, runner: RunnerSlots) -> HeldAdapters:
+        ready = SlotState.READY
+        refs = tuple([seat.ref for seat in runner.slots.values() if seat.state is ready])
         known = self._word_by_life.get(runner.life)
         if known is not None and known.adapters == refs:
             return known
--- a/monsoonflow/entry/placing.py
+++ b/monsoonflow/entry/placing.py
@@ -15,7 +15,7 @@
 from ..gateway.job import Job
 from ..gateway.models import Call, Chosen, NoServer
 from ..logs import events, log
-from ..placement.waiting import NoPlace, Placed
+from ..placement.request_queue import NoSlot, Placed
 from ..routing.routes import Route, Service
 from ..transport.models import Lost
 from .peers import PLACE_PATH
@@ -162,7 +162,7 @@
             question["waited_ms"] = clock.now_ms() - began_ms
             question["tried_ms"] = job.request.arrived_ms - job.since_ms
             found = self._send(service, question, left_ms)
-            if isinstance(found, NoPlace):
+            if isinstance(found, NoSlot):
                 return NoServer("too many wait for a place", found.retry_after_ms)
             chosen = self._chosen(call, job, found) if isinstance(found, Placed) else None
             if chosen is None:
@@ -252,7 +252,7 @@
 
     def _send(
         self, service: Service, question: dict[str, Any], left_ms: int
-    ) -> Placed | NoPlace | None:
+    ) -> Placed | NoSlot | None:
         """Ask this node's desk, or the holder's; ``None`` when nobody answers."""
         daemon = self._daemon
         duty = daemon.duties.duty_of(service.name)
@@ -274,7 +274,7 @@
                 return Placed(
                     ServerLife(data["server"]), int(data["version"]), int(data["tried_ms"])
                 )
-            return NoPlace(int(data["retry_after_ms"]))
+            return NoSlot(int(data["retry_after_ms"]))
         except (ValueError, KeyError, TypeError):
             return None
 
--- a/monsoonflow/node/grants.py
+++ b/monsoonflow/node/grants.py
@@ -11,7 +11,7 @@
 import attrs
 
 from ..core.clock import Clock
-from ..placement.load_order import LoadOrder
+from ..placement.load_priority import LoadPrioritizer
 from ..rpc import control_pb2 as pb
 
 FRESH_MS: Final = 400
@@ -41,7 +41,7 @@
         self._next_ms = 0.0
         self._granted_to: str | None = None
         self._granted_ms = 0
-        self._order = LoadOrder()
+        self._order = LoadPrioritizer()
         self._wishes_by_process: dict[str, list[_Wish]] = {}
 
     def ask(self, request: pb.GrantRequest) -> int | None:
@@ -60,7 +60,7 @@
         wish = self._first(now_ms) if self._idle(now_ms) else None
         if wish is None or wish.process != request.process:
             return None
-        self._order.granted(wish)
+        self._order.record_grant(wish)
         del self._wishes_by_process[request.process]
         self._granted_to = request.process
         self._granted_ms = now_ms
--- a/monsoonflow/node/router.py
+++ b/monsoonflow/node/router.py
@@ -7,8 +7,8 @@
 
 from ..core.adapter import AdapterRef
 from ..membership.view import Peer
-from ..placement.choice import choose_runner, view_of
 from ..placement.models import RunnerView
+from ..placement.runner_selection import build_runner_view, choose_runner
 from .context import NodeContext
 
 
@@ -48,7 +48,7 @@
     owned = context.core.owned_by_runner.get(runner_id)
     if owned is not None:
         takes = owned.takes_new_work and not entry.draining and not owned.handing_over
-        return view_of(owned.runner, entry.base_model, context.now_ms(), takes)
+        return build_runner_view(owned.runner, entry.base_model, context.now_ms(), takes)
     remote = context.remote_by_runner.get(runner_id)
     peer = _owner_peer(context, runner_id)
     if remote is None or peer is None or remote.incarnation != peer.row.incarnation:
@@ -78,7 +78,7 @@
     peer = _owner_peer(context, runner_id)
     if peer is None:
         return Nowhere("the runner's owner is not known")
-    view_by_id[runner_id].sent_since += 1
+    view_by_id[runner_id].sent_since_report += 1
     return There(runner_id, peer)
 
 
--- a/monsoonflow/orders/models.py
+++ b/monsoonflow/orders/models.py
@@ -81,7 +81,7 @@
     reason: str
 
 
-OrderAnswer: TypeAlias = Accepted | Stale | Superseded | Gone | Unanswered | Unusable
+OrderResult: TypeAlias = Accepted | Stale | Superseded | Gone | Unanswered | Unusable
 
 
 @attrs.frozen(slots=True)
@@ -96,11 +96,11 @@
 
     life: ServerLife
     sequence: int
-    busy: bool
+    is_changing_model: bool
     models: tuple[HeldModel, ...]
-    incoming: tuple[AdapterRef, ...] = ()
-    running: int = 0
-    waiting: int = 0
+    loading_adapters: tuple[AdapterRef, ...] = ()
+    running_requests: int = 0
+    waiting_requests: int = 0
     memory_used: int = 0
     memory_total: int = 0
 
@@ -108,11 +108,11 @@
 class RunnerControl(Protocol):
     """Reaches runners for orders and reports."""
 
-    def report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
+    def fetch_report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
         """Return what a runner says of itself; ``None`` when it does not answer."""
 
-    def order(self, life: ServerLife, address: str, order: Order) -> OrderAnswer:
+    def send_order(self, life: ServerLife, address: str, order: Order) -> OrderResult:
         """Send an order once."""
 
-    def forget(self, address: str) -> None:
+    def close_connections(self, address: str) -> None:
         """Close the connections to a runner that is gone."""
--- a/monsoonflow/placement/kept_copies.py
+++ b/monsoonflow/placement/cached_copies.py
@@ -8,22 +8,22 @@
 from ..core.server_life import ServerLife
 
 
-class KeptCopies:
+class CachedCopies:
     """The runners that are thought to keep a copy, by adapter.
 
-    >>> kept = KeptCopies()
+    >>> kept = CachedCopies()
     >>> ref = AdapterRef("m/a1", 2)
     >>> kept.add(ref, ServerLife("i-1"))
     >>> kept.add(ref, ServerLife("i-2"))
     >>> kept.remove(ref, ServerLife("i-1"))
-    >>> list(kept.of(ref)), list(kept.of(AdapterRef("m/a1", 3)))
+    >>> list(kept.runners_with(ref)), list(kept.runners_with(AdapterRef("m/a1", 3)))
     (['i-2'], [])
     """
 
     def __init__(self) -> None:
         self._lives_by_ref: dict[AdapterRef, dict[ServerLife, None]] = {}
 
-    def of(self, ref: AdapterRef) -> Collection[ServerLife]:
+    def runners_with(self, ref: AdapterRef) -> Collection[ServerLife]:
         """Return the runners that keep a copy."""
         return self._lives_by_ref.get(ref, ())
 
--- a/monsoonflow/placement/idle.py
+++ b/monsoonflow/placement/idle_slots.py
@@ -9,10 +9,10 @@
 
 from ..core.server_life import ServerLife
 from ..routing.in_flight import ServerWork
-from .heat import Heat
-from .seats import RunnerSeats, Seat, SeatState
+from .slots import RunnerSlots, Slot, SlotState
+from .usage_scores import UsageScores
 
-UNSEEN_MS: Final = 100
+USE_REPORT_DELAY_MS: Final = 100
 """A use that began so lately may not have been heard of: nodes tell the holder within 20 ms when a
 use begins or ends. One that is missed all the same is refused by the runner and comes back."""
 
@@ -20,54 +20,56 @@
 
 
 @attrs.define(slots=True)
-class IdlePlaces:
+class IdleSlots:
     """The places of a cell's runners that could be given to other adapters.
 
     :param newest: the newest version by adapter, where the operator named one.
     """
 
-    runners: Mapping[ServerLife, RunnerSeats]
-    heat: Heat
-    newest: Mapping[str, int]
+    runners: Mapping[ServerLife, RunnerSlots]
+    usage_scores: UsageScores
+    newest_by_adapter: Mapping[str, int]
 
     def least_valuable(
-        self, runner: RunnerSeats, now_ms: int, work: Mapping[ServerLife, ServerWork]
-    ) -> Seat | None:
+        self, runner: RunnerSlots, now_ms: int, work: Mapping[ServerLife, ServerWork]
+    ) -> Slot | None:
         """Return the least valuable seat that nothing uses, or may use unheard."""
-        idle = self.of(runner, now_ms, work)
-        return min(idle, key=lambda seat: self.value(seat, now_ms), default=None)
+        idle = self.idle_slots_of(runner, now_ms, work)
+        return min(idle, key=lambda seat: self.value_of(seat, now_ms), default=None)
 
     def has_room(
-        self, runner: RunnerSeats, now_ms: int, work: Mapping[ServerLife, ServerWork]
+        self, runner: RunnerSlots, now_ms: int, work: Mapping[ServerLife, ServerWork]
     ) -> bool:
         """Tell whether a runner has a free place, or can make one."""
-        return runner.room(now_ms) > 0 or bool(self.of(runner, now_ms, work))
+        return runner.available_slots(now_ms) > 0 or bool(self.idle_slots_of(runner, now_ms, work))
 
     def count(self, now_ms: int, work: Mapping[ServerLife, ServerWork]) -> int:
         """Return how many places nothing uses."""
         runners = self.runners.values()
-        return sum(r.room(now_ms) + len(self.of(r, now_ms, work)) for r in runners)
+        return sum(
+            r.available_slots(now_ms) + len(self.idle_slots_of(r, now_ms, work)) for r in runners
+        )
 
-    def value(self, seat: Seat, now_ms: int) -> float:
+    def value_of(self, seat: Slot, now_ms: int) -> float:
         """Return what a seat is worth: the use of its adapter, shared by its copies."""
         name = seat.ref.name
-        if seat.ref.version < self.newest.get(name, 1):
+        if seat.ref.version < self.newest_by_adapter.get(name, 1):
             return 0.0
-        copies = sum(runner.ready(name) is not None for runner in self.runners.values())
-        return self.heat.of(name, now_ms) / max(1, copies)
+        copies = sum(runner.ready_slot(name) is not None for runner in self.runners.values())
+        return self.usage_scores.score_of(name, now_ms) / max(1, copies)
 
-    def of(
-        self, runner: RunnerSeats, now_ms: int, work: Mapping[ServerLife, ServerWork]
-    ) -> list[Seat]:
+    def idle_slots_of(
+        self, runner: RunnerSlots, now_ms: int, work: Mapping[ServerLife, ServerWork]
+    ) -> list[Slot]:
         """Return the seats of a runner that nothing uses, or may use unheard."""
         at = work.get(runner.life)
         used = at.requests_by_adapter if at is not None else _NOTHING
-        unseen_ms = now_ms - UNSEEN_MS
-        ready = SeatState.READY
+        unseen_ms = now_ms - USE_REPORT_DELAY_MS
+        ready = SlotState.READY
         return [
             seat
-            for name, seat in runner.seats.items()
-            if seat.used_ms <= unseen_ms
+            for name, seat in runner.slots.items()
+            if seat.last_used_ms <= unseen_ms
             and seat.state is ready
             and seat.granted_until_ms <= now_ms
             and not used.get(name)
--- a/monsoonflow/placement/load_order.py
+++ b/monsoonflow/placement/load_priority.py
@@ -9,7 +9,7 @@
 """Of so many loads, one at most is a newcomer's while others wait."""
 
 
-class Wish(Protocol):
+class LoadRequest(Protocol):
     """A load that is wanted."""
 
     background: bool
@@ -18,10 +18,10 @@
         """Return the sort key among wishes of the same kind."""
 
 
-W = TypeVar("W", bound=Wish)
+LoadRequestT = TypeVar("LoadRequestT", bound=LoadRequest)
 
 
-class LoadOrder:
+class LoadPrioritizer:
     """Picks the next load; a newcomer's only in its turn, or when nothing else is wanted.
 
     A customer group of a thousand adapters that is brought in wants a thousand loads at once. By
@@ -33,7 +33,7 @@
         self._every = background_every
         self._since_background = 0
 
-    def pick(self, wishes: Iterable[W]) -> W | None:
+    def pick(self, wishes: Iterable[LoadRequestT]) -> LoadRequestT | None:
         """Return the wish to grant next, if there is one; changes nothing."""
         listed = list(wishes)
         foreground = [wish for wish in listed if not wish.background]
@@ -42,6 +42,6 @@
         first, second = (background, foreground) if turn else (foreground, background)
         return max(first or second, key=lambda wish: wish.urgency(), default=None)
 
-    def granted(self, wish: Wish) -> None:
+    def record_grant(self, wish: LoadRequest) -> None:
         """Note that a wish was granted."""
         self._since_background = 0 if wish.background else self._since_background + 1
--- a/monsoonflow/placement/models.py
+++ b/monsoonflow/placement/models.py
@@ -22,7 +22,7 @@
     max_batch: int = 1
     queued: int = 0
     running: int = 0
-    sent_since: int = 0
+    sent_since_report: int = 0
     ready: int = 0
     stall_total_ms: float = 0.0
     stall_weight: float = 0.0
@@ -32,7 +32,7 @@
 
     def backlog(self) -> float:
         """Return the expected work ahead of a new request, in full batches."""
-        return (self.queued + self.running + self.sent_since) / max(1, self.max_batch)
+        return (self.queued + self.running + self.sent_since_report) / max(1, self.max_batch)
 
 
 @attrs.frozen(slots=True)
--- a/monsoonflow/placement/waiting.py
+++ b/monsoonflow/placement/request_queue.py
@@ -21,30 +21,30 @@
 RATE_WINDOW_MS: Final = 2_000
 """Window in which places given are counted: longer than a load, shorter than a rush."""
 
-USUAL_USE_MS: Final = 4_000
+ASSUMED_SLOT_USE_MS: Final = 4_000
 """A place is assumed to be free again after so long at the latest: a load, a prompt and a long
 answer. After a quiet time no rate has been measured, and nobody may be refused for that."""
 
-LEAST_LATE_SHARE: Final = 1 / 3
+MIN_LATE_SHARE: Final = 1 / 3
 """Share of the places that those who are late already are taken to get at least; more made them
 wait until their time was over (price on one day of rushes 0.009, 0.007 with a third; one run
 each)."""
 
-FEW: Final = 4
+ALWAYS_QUEUED_ADAPTERS: Final = 4
 """So many adapters may always wait, whatever the rate says."""
 
-PATIENCE: Final = 0.5
+MAX_WAIT_SHARE: Final = 0.5
 """Share of the time left that a request is let wait; the rest is for its answer."""
 
-MIN_RETRY_MS: Final = 250
+MIN_RETRY_AFTER_MS: Final = 250
 
 
-Turn: TypeAlias = tuple[int, int]
+GroupSortKey: TypeAlias = tuple[int, int]
 """Priority and time of coming: the order among those on time, and among those who are late."""
 
 
 @attrs.define(slots=True, eq=False)
-class Waiter:
+class QueuedRequest:
     """A request that waits for an adapter.
 
     :param version: the oldest version that may serve it.
@@ -61,23 +61,23 @@
     :param settle: called once; with ``None`` when another node must be asked.
     """
 
-    name: str
-    version: int
+    adapter_name: str
+    min_version: int
     priority: int
-    since_ms: int
+    first_attempt_ms: int
     on_time_until_ms: int
-    until_ms: int
-    avoid: frozenset[str]
-    settle: Callable[[Placed | NoPlace | None], None]
-    load_ms: int = 0
-    session: str | None = None
+    deadline_ms: int
+    excluded_runners: frozenset[str]
+    on_result: Callable[[Placed | NoSlot | None], None]
+    expected_load_ms: int = 0
+    session_key: str | None = None
     tried_ms: int = 0
     rank: int = 0
     prompt_tokens: int = 0
     read_by_ms: int | None = None
     tokens_per_ms: float = INITIAL_TOKENS_PER_MS
 
-    def read_in_time(self, at: ServerWork, granted_tokens: int, now_ms: int) -> bool:
+    def can_prefill_in_time(self, at: ServerWork, granted_tokens: int, now_ms: int) -> bool:
         """Tell whether a runner will have read its prompt before its caller leaves.
 
         :param granted_tokens: on their way there from others, that no report tells of yet.
@@ -87,38 +87,38 @@
         if not at.pending_prefill_ahead(self.rank) + granted_tokens:
             # Refused before an idle runner, nobody would show that it reads quicker than believed.
             return now_ms < self.read_by_ms
-        return self.read_at_ms(at, granted_tokens, now_ms) <= self.read_by_ms
+        return self.prefill_done_ms(at, granted_tokens, now_ms) <= self.read_by_ms
 
-    def read_at_ms(self, at: ServerWork, granted_tokens: int, now_ms: int) -> int:
+    def prefill_done_ms(self, at: ServerWork, granted_tokens: int, now_ms: int) -> int:
         """Return when a runner will have read its prompt, were it sent there now."""
         tokens = at.pending_prefill_ahead(self.rank) + granted_tokens + self.prompt_tokens
         return now_ms + BASE_LATENCY_MS + int(tokens / self.tokens_per_ms)
 
-    def late(self, now_ms: int) -> bool:
+    def is_late(self, now_ms: int) -> bool:
         """Tell whether the first event would be late even if the adapter were loaded from now."""
-        return now_ms + self.load_ms > self.on_time_until_ms
+        return now_ms + self.expected_load_ms > self.on_time_until_ms
 
-    def urgency(self, now_ms: int) -> tuple[bool, int, int]:
+    def sort_key(self, now_ms: int) -> tuple[bool, int, int]:
         """Return the order in which places are given.
 
         Who can still be on time goes first. In the order of arrival a rush would make everybody
         late: the oldest, whose answer is late already, would take the place of one that is not.
         """
-        return (self.late(now_ms), self.priority, self.since_ms)
+        return (self.is_late(now_ms), self.priority, self.first_attempt_ms)
 
-    def turn(self) -> Turn:
+    def group_sort_key(self) -> GroupSortKey:
         """Return the order among those who are on time, or late, as this one is."""
-        return (self.priority, self.since_ms)
+        return (self.priority, self.first_attempt_ms)
 
 
-def in_order(waiters: Iterable[Waiter], now_ms: int) -> list[Waiter]:
-    """Return requests by :meth:`Waiter.urgency`: those on time first, then those who are late."""
-    on_time: list[Waiter] = []
-    late: list[Waiter] = []
+def in_service_order(waiters: Iterable[QueuedRequest], now_ms: int) -> list[QueuedRequest]:
+    """Return requests by :meth:`QueuedRequest.sort_key`: on time first, then late."""
+    on_time: list[QueuedRequest] = []
+    late: list[QueuedRequest] = []
     for waiter in waiters:
-        (late if waiter.late(now_ms) else on_time).append(waiter)
-    on_time.sort(key=Waiter.turn)
-    late.sort(key=Waiter.turn)
+        (late if waiter.is_late(now_ms) else on_time).append(waiter)
+    on_time.sort(key=QueuedRequest.group_sort_key)
+    late.sort(key=QueuedRequest.group_sort_key)
     return on_time + late
 
 
@@ -135,7 +135,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoPlace:
+class NoSlot:
     """No runner will be able to in time.
 
     :param retry_after_ms: when the queue has drained.
@@ -144,40 +144,40 @@
     retry_after_ms: int
 
 
-class _Ahead:
+class _AdaptersAhead:
     """The adapters that are waited for, each at the turn of the first who waits for it."""
 
     def __init__(self) -> None:
-        self._turns: list[Turn] = []
-        self._turn_by_name: dict[str, Turn] = {}
+        self._turns: list[GroupSortKey] = []
+        self._turn_by_name: dict[str, GroupSortKey] = {}
 
     def all(self) -> int:
         """Return how many adapters there are."""
         return len(self._turns)
 
-    def count(self, waiter: Waiter) -> int:
+    def count(self, waiter: QueuedRequest) -> int:
         """Return how many adapters come before a request has its turn."""
-        return bisect_right(self._turns, waiter.turn())
+        return bisect_right(self._turns, waiter.group_sort_key())
 
-    def add_last(self, waiter: Waiter) -> None:
+    def add_last(self, waiter: QueuedRequest) -> None:
         """Count the adapter of a request whose turn comes after all that are counted."""
-        if waiter.name not in self._turn_by_name:
-            turn = self._turn_by_name[waiter.name] = waiter.turn()
+        if waiter.adapter_name not in self._turn_by_name:
+            turn = self._turn_by_name[waiter.adapter_name] = waiter.group_sort_key()
             self._turns.append(turn)
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, waiter: QueuedRequest) -> None:
         """Count a request's adapter."""
-        turn = waiter.turn()
-        known = self._turn_by_name.get(waiter.name)
+        turn = waiter.group_sort_key()
+        known = self._turn_by_name.get(waiter.adapter_name)
         if known is not None:
             if known <= turn:
                 return
             del self._turns[bisect_left(self._turns, known)]
-        self._turn_by_name[waiter.name] = turn
+        self._turn_by_name[waiter.adapter_name] = turn
         insort(self._turns, turn)
 
 
-class Pace:
+class QueueAdmission:
     """How fast places were given lately, and from it who will not get one in time."""
 
     def __init__(self) -> None:
@@ -185,17 +185,17 @@
         self._placed_late_ms: deque[int] = deque()
         self._places = 0
         self._idle = 0
-        self._ahead = {False: _Ahead(), True: _Ahead()}
+        self._ahead = {False: _AdaptersAhead(), True: _AdaptersAhead()}
 
-    def placed(self, waiter: Waiter, now_ms: int) -> None:
+    def record_assignment(self, waiter: QueuedRequest, now_ms: int) -> None:
         """Count a place that was given."""
         self._placed_ms.append(now_ms)
         if now_ms > waiter.on_time_until_ms:
             self._placed_late_ms.append(now_ms)
 
-    def hopeless(
-        self, waiters: list[Waiter], places: int, idle: int, now_ms: int
-    ) -> list[tuple[Waiter, NoPlace]]:
+    def check_queue(
+        self, waiters: list[QueuedRequest], places: int, idle: int, now_ms: int
+    ) -> list[tuple[QueuedRequest, NoSlot]]:
         """Return who is too far back, with a time to come back.
 
         Holding a request that will not be served costs its caller the time in which it could have
@@ -206,11 +206,11 @@
         :param idle: places that nothing uses: so many need not wait for any end.
         """
         self._places, self._idle = places, idle
-        self._ahead = {False: _Ahead(), True: _Ahead()}
+        self._ahead = {False: _AdaptersAhead(), True: _AdaptersAhead()}
         rates = self._rates(now_ms)
         refused = []
         for waiter in waiters:
-            late = waiter.late(now_ms)
+            late = waiter.is_late(now_ms)
             ahead = self._ahead[late]
             refusal = self._refusal(waiter, ahead.all(), rates[late], now_ms)
             if refusal is None:
@@ -219,13 +219,13 @@
                 refused.append((waiter, refusal))
         return refused
 
-    def newcomer(self, waiter: Waiter, now_ms: int) -> NoPlace | None:
+    def check_new_request(self, waiter: QueuedRequest, now_ms: int) -> NoSlot | None:
         """Return the refusal of one more request; ``None`` when it may wait.
 
         It is judged by who was ahead when all were last looked at, and by who has come since. A
         look at all of 300 who wait, for each of 280 questions a second, took half of a core.
         """
-        late = waiter.late(now_ms)
+        late = waiter.is_late(now_ms)
         ahead = self._ahead[late]
         rate = self._rates(now_ms)[late]
         refusal = self._refusal(waiter, ahead.count(waiter), rate, now_ms)
@@ -235,18 +235,20 @@
 
     def _rates(self, now_ms: int) -> dict[bool, float]:
         """Return places a second for those on time, and for those who are late."""
-        least = 1000 * self._places / USUAL_USE_MS
+        least = 1000 * self._places / ASSUMED_SLOT_USE_MS
         return {
             False: max(least, _rate(self._placed_ms, now_ms)),
-            True: max(least * LEAST_LATE_SHARE, _rate(self._placed_late_ms, now_ms)),
+            True: max(least * MIN_LATE_SHARE, _rate(self._placed_late_ms, now_ms)),
         }
 
-    def _refusal(self, waiter: Waiter, ahead: int, rate: float, now_ms: int) -> NoPlace | None:
-        queued = max(0, ahead - self._idle - FEW)
+    def _refusal(
+        self, waiter: QueuedRequest, ahead: int, rate: float, now_ms: int
+    ) -> NoSlot | None:
+        queued = max(0, ahead - self._idle - ALWAYS_QUEUED_ADAPTERS)
         wait_ms = 1000 * queued / max(1.0, rate)
-        left_ms = waiter.until_ms - now_ms
-        if left_ms <= 0 or wait_ms > left_ms * PATIENCE:
-            return NoPlace(max(MIN_RETRY_MS, int(wait_ms)))
+        left_ms = waiter.deadline_ms - now_ms
+        if left_ms <= 0 or wait_ms > left_ms * MAX_WAIT_SHARE:
+            return NoSlot(max(MIN_RETRY_AFTER_MS, int(wait_ms)))
         return None
 
 
--- a/monsoonflow/placement/choice.py
+++ b/monsoonflow/placement/runner_selection.py
@@ -11,7 +11,9 @@
 from .models import PlacementTuning, RunnerView
 
 
-def view_of(runner: Runner, base_model: str, now_ms: int, takes_new_work: bool) -> RunnerView:
+def build_runner_view(
+    runner: Runner, base_model: str, now_ms: int, takes_new_work: bool
+) -> RunnerView:
     """Return the exact view of a runner, as its owner has it."""
     return RunnerView(
         runner_id=runner.runner_id,
--- a/monsoonflow/placement/spread.py
+++ b/monsoonflow/placement/spread.py
@@ -9,7 +9,7 @@
 from ..helpers.hashing import rank
 from .models import RunnerView
 
-OLDEST_FACTOR: Final = 20
+MAX_WAIT_FACTOR: Final = 20
 
 
 @attrs.frozen(slots=True)
@@ -39,7 +39,7 @@
     """
 
     runners: int
-    places: int
+    batch_size: int
     requests: int
     stall_ms: float
     oldest_wait_ms: int
@@ -75,7 +75,7 @@
         return 0.8 * self._smoothed + 0.2 * requests
 
     def _fill(self, in_use: int, demand: Demand) -> float:
-        return (self._smoothed or 0.0) / max(1, in_use * demand.places)
+        return (self._smoothed or 0.0) / max(1, in_use * demand.batch_size)
 
     def _is_short(self, demand: Demand) -> bool:
         assert self._in_use is not None
@@ -83,7 +83,7 @@
             return True
         if demand.stall_ms > self._tuning.stall_ms:
             return True
-        return demand.oldest_wait_ms > OLDEST_FACTOR * self._tuning.stall_ms
+        return demand.oldest_wait_ms > MAX_WAIT_FACTOR * self._tuning.stall_ms
 
     def _has_too_many(self, demand: Demand) -> bool:
         assert self._in_use is not None
@@ -107,7 +107,7 @@
     total_ms = sum(view.stall_total_ms for view in views)
     return Demand(
         runners=len(views),
-        places=max((view.max_batch for view in views), default=1),
+        batch_size=max((view.max_batch for view in views), default=1),
         requests=sum(view.running + view.ready for view in views),
         stall_ms=total_ms / served if served > 0 else 0.0,
         oldest_wait_ms=max((view.oldest_wait_ms for view in views), default=0),
--- a/monsoonflow/placement/store_share.py
+++ b/monsoonflow/placement/store_share.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..runner.models import LoadCandidate
-from .load_order import LoadOrder
+from .load_priority import LoadPrioritizer
 
 
 class StoreShare:
@@ -19,14 +19,14 @@
     def __init__(self, loads_per_second: float) -> None:
         self._interval_ms = 1000.0 / loads_per_second
         self._next_ms = 0.0
-        self._order = LoadOrder()
+        self._order = LoadPrioritizer()
 
     def set_rate(self, loads_per_second: float) -> None:
         """Change the rate, as nodes come and go."""
         self._interval_ms = 1000.0 / loads_per_second
 
     def pick(
-        self, candidates: list[LoadCandidate], under_way: int, now_ms: int
+        self, candidates: list[LoadCandidate], loads_in_progress: int, now_ms: int
     ) -> LoadCandidate | None:
         """Return the load to start now, if one may start: the most urgent of all runners'.
 
@@ -34,11 +34,11 @@
             counter of its own once stayed raised when a runner changed hands between an unload and
             the load after it, and no load ever started again.
         """
-        if under_way or now_ms < self._next_ms or not candidates:
+        if loads_in_progress or now_ms < self._next_ms or not candidates:
             return None
         return self._order.pick(candidates)
 
-    def started(self, load: LoadCandidate, now_ms: int) -> None:
+    def record_start(self, load: LoadCandidate, now_ms: int) -> None:
         """Note the start of a load."""
-        self._order.granted(load)
+        self._order.record_grant(load)
         self._next_ms = max(self._next_ms + self._interval_ms, float(now_ms))
--- a/monsoonflow/platform/engine.py
+++ b/monsoonflow/platform/engine.py
@@ -15,7 +15,7 @@
     Accepted,
     Gone,
     Order,
-    OrderAnswer,
+    OrderResult,
     RunnerReport,
     Stale,
     Superseded,
@@ -41,7 +41,7 @@
     def __init__(self, clock: Clock) -> None:
         self._pools = Pools(clock, max_idle=2)
 
-    def report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
+    def fetch_report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
         """Return what a runner says of itself, some hundred milliseconds old."""
         answer = self._call("GET", "/v1/report", b"", life, address, REPORT_TIMEOUT_MS)
         if isinstance(answer, Lost):
@@ -56,7 +56,7 @@
             return None
         return report
 
-    def order(self, life: ServerLife, address: str, order: Order) -> OrderAnswer:
+    def send_order(self, life: ServerLife, address: str, order: Order) -> OrderResult:
         """Send an order once."""
         model, _, adapter = order.name.partition("/")
         body: dict[str, Any] = {
@@ -91,7 +91,7 @@
             case status:
                 return Unusable(f"status {status} {answer.body[:100]!r}")
 
-    def forget(self, address: str) -> None:
+    def close_connections(self, address: str) -> None:
         """Close the connections to a runner that is gone."""
         self._pools.forget(address)
 
@@ -122,11 +122,11 @@
     return RunnerReport(
         life=life,
         sequence=fields.sequence,
-        busy=fields.busy,
+        is_changing_model=fields.busy,
         models=models,
-        incoming=tuple(incoming),
-        running=fields.active,
-        waiting=fields.queued,
+        loading_adapters=tuple(incoming),
+        running_requests=fields.active,
+        waiting_requests=fields.queued,
         memory_used=int(fields.kv_used),
         memory_total=int(fields.kv_total),
     )
--- a/monsoonflow/serving/core.py
+++ b/monsoonflow/serving/core.py
@@ -273,7 +273,7 @@
         orders = owned.runner.start_load(chosen.adapter, now_ms, permission)
         if not orders:
             return False
-        self.share.started(chosen, now_ms)
+        self.share.record_start(chosen, now_ms)
         self.journal.record(
             chosen.runner_id,
             "load decided",
--- a/tests/entry/test_holder_work.py
+++ b/tests/entry/test_holder_work.py
@@ -56,7 +56,7 @@
         self._until(self._all_known)
         for number in range(waiting):
             gevent.spawn(self.ask, f"{MODEL}/waits{number}", FOREVER_MS)
-        self._until(lambda: len(self.load.duty.desk.waiters) == waiting)
+        self._until(lambda: len(self.load.duty.desk.queued_requests) == waiting)
 
     def _fill_places(self) -> None:
         askers = self.load.askers
@@ -72,7 +72,7 @@
     def _all_known(self) -> bool:
         duty = self.load.duty
         desk = duty.desk if duty is not None else None
-        return desk is not None and all(runner.known() for runner in desk.runners.values())
+        return desk is not None and all(runner.is_known() for runner in desk.runners.values())
 
     def _until(self, reached) -> None:
         for _ in range(SETTLED_WITHIN_TURNS):
@@ -189,7 +189,7 @@
     waiter = gevent.spawn(holder.ask, f"{MODEL}/comes", FOREVER_MS)
     gevent.sleep(0.05)
     runner = desk.runners[next(iter(holder.load.runners))]
-    runner.seats[f"{MODEL}/comes"] = runner.seats.pop(f"{MODEL}/held0-0")
+    runner.slots[f"{MODEL}/comes"] = runner.slots.pop(f"{MODEL}/held0-0")
     holder.clock.advance(30)
     holder.load.duties.wake()
     gevent.sleep(0.2)
@@ -205,8 +205,8 @@
     holder = make_holder(7, 0)
     desk = holder.load.duty.desk
     runner = next(iter(holder.load.runners.values()))
-    del runner.held[f"{MODEL}/held0-0"], desk.runners[runner.life].seats[f"{MODEL}/held0-0"]
-    monkeypatch.setattr(desk, "settle_waiters", lambda *_: None)
+    del runner.held[f"{MODEL}/held0-0"], desk.runners[runner.life].slots[f"{MODEL}/held0-0"]
+    monkeypatch.setattr(desk, "process_queue", lambda *_: None)
     both = [gevent.spawn(holder.ask, f"{MODEL}/comes", FOREVER_MS) for _ in range(2)]
     for _ in range(60):
         holder.clock.advance(10)
@@ -224,13 +224,13 @@
     holder = make_holder(7, 0)
     desk = holder.load.duty.desk
     asked: list[str] = []
-    ask = desk.ask
+    ask = desk.request_slot
 
     def noting(waiter, *rest):
-        asked.append(waiter.name)
+        asked.append(waiter.adapter_name)
         ask(waiter, *rest)
 
-    monkeypatch.setattr(desk, "ask", noting)
+    monkeypatch.setattr(desk, "request_slot", noting)
     address = f"127.0.0.1:{free_port()}"
     port = Port(address, holder.load.duties.answer_placement, MessageLimits, holder.clock)
     assert port.start()
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -198,8 +198,8 @@
     asked = []
     duties = one.daemon.duties
     desk = duties.duty_of("llm").desk
-    ask = desk.ask
-    desk.ask = lambda waiter, *rest: (asked.append(waiter.priority), ask(waiter, *rest))
+    ask = desk.request_slot
+    desk.request_slot = lambda waiter, *rest: (asked.append(waiter.priority), ask(waiter, *rest))
     fleet.generate(one, "a1", "warm")
     holder = next(runner for runner in runners if "a1" in runner.adapters)
     holder.faults.cut_after = 2
--- a/tests/placement/conftest.py
+++ b/tests/placement/conftest.py
@@ -11,14 +11,14 @@
 from monsoonflow.orders.models import (
     Accepted,
     Operation,
-    OrderAnswer,
+    OrderResult,
     RunnerReport,
     Stale,
     Unanswered,
 )
-from monsoonflow.placement.desk import Desk
-from monsoonflow.placement.seats import Step
-from monsoonflow.placement.waiting import Placed, Waiter
+from monsoonflow.placement.request_queue import Placed, QueuedRequest
+from monsoonflow.placement.scheduler import AdapterScheduler
+from monsoonflow.placement.slots import OrderStep
 from monsoonflow.routing.in_flight import ServerWork
 from monsoonflow.routing.routes import BaseModel, EngineTraits
 
@@ -60,7 +60,7 @@
         if self.model_at_ms is not None and now_ms >= self.model_at_ms:
             self.model, self.model_at_ms = MODEL, None
 
-    def order(self, step: Step, now_ms: int) -> OrderAnswer:
+    def order(self, step: OrderStep, now_ms: int) -> OrderResult:
         """Carry out an order."""
         self.settle(now_ms)
         if step.sequence != self.sequence:
@@ -68,7 +68,7 @@
         if "/" not in step.name:
             return self._load_model(now_ms)
         if step.operation is Operation.UNLOAD and self.unloads_wait:
-            self.sequence += not step.confirms
+            self.sequence += not step.is_confirmation
             return Accepted(complete=False)
         if step.operation is Operation.UNLOAD:
             self.sequence += self.held.pop(step.name, None) is not None
@@ -97,7 +97,7 @@
         self.in_progress.append(now_ms + took_ms)
         return took_ms
 
-    def _load_model(self, now_ms: int) -> OrderAnswer:
+    def _load_model(self, now_ms: int) -> OrderResult:
         if self.model is not None:
             return Accepted(complete=True)
         if self.model_at_ms is None:
@@ -117,7 +117,7 @@
 class World:
     """A desk with its runners and requests."""
 
-    desk: Desk
+    desk: AdapterScheduler
     runners: dict[str, FakeRunner]
     now_ms: int = 1_000
     work: dict[str, ServerWork] = attrs.Factory(dict)
@@ -125,23 +125,23 @@
     newest: dict[str, int] = attrs.Factory(dict)
     lose: int = 0
     late: list = attrs.Factory(list)
-    steps: list[Step] = attrs.Factory(list)
+    steps: list[OrderStep] = attrs.Factory(list)
 
-    def ask(self, name: str, tag: str = "", **changes: object) -> Waiter:
+    def ask(self, name: str, tag: str = "", **changes: object) -> QueuedRequest:
         """Let a request ask for an adapter."""
         tag = tag or name
-        waiter = Waiter(
-            name=f"{MODEL}/{name}",
-            version=1,
+        waiter = QueuedRequest(
+            adapter_name=f"{MODEL}/{name}",
+            min_version=1,
             priority=1,
-            since_ms=self.now_ms,
+            first_attempt_ms=self.now_ms,
             on_time_until_ms=self.now_ms + 700,
-            until_ms=self.now_ms + 3_000,
-            avoid=frozenset(),
-            settle=lambda result: self.settled.__setitem__(tag, result),
+            deadline_ms=self.now_ms + 3_000,
+            excluded_runners=frozenset(),
+            on_result=lambda result: self.settled.__setitem__(tag, result),
         )
         waiter = attrs.evolve(waiter, **changes)
-        self.desk.ask(waiter, self.now_ms, self.work)
+        self.desk.request_slot(waiter, self.now_ms, self.work)
         return waiter
 
     def run(self, for_ms: int, every_ms: int = 10) -> None:
@@ -157,21 +157,21 @@
             if self.now_ms >= due_ms:
                 self.late.remove((due_ms, step))
                 self.runners[step.life].order(step, self.now_ms)
-        for life in self.desk.wants_report(self.now_ms):
+        for life in self.desk.runners_needing_report(self.now_ms):
             runner = self.runners[life]
             runner.settle(self.now_ms)
-            self.desk.reported(life, runner.report(), self.now_ms)
-        self.desk.settle_waiters(self.now_ms, self.work)
+            self.desk.handle_report(life, runner.report(), self.now_ms)
+        self.desk.process_queue(self.now_ms, self.work)
         for step in self.desk.plan(self.now_ms, self.work):
             self.steps.append(step)
-            if self.lose > 0 and not step.confirms:
+            if self.lose > 0 and not step.is_confirmation:
                 self.lose -= 1
                 self.late.append((self.now_ms + 3_000, step))
-                self.desk.answered(step, Unanswered("lost"), self.now_ms)
+                self.desk.handle_order_result(step, Unanswered("lost"), self.now_ms)
                 continue
             answer = self.runners[step.life].order(step, self.now_ms)
-            self.desk.answered(step, answer, self.now_ms)
-        self.desk.settle_waiters(self.now_ms, self.work)
+            self.desk.handle_order_result(step, answer, self.now_ms)
+        self.desk.process_queue(self.now_ms, self.work)
         assert not any(runner.crashed for runner in self.runners.values())
 
     def use(self, life: ServerLife, name: str, requests: int = 1, unread: int = 0) -> None:
@@ -197,12 +197,12 @@
 
     def make(count: int = 1, traits: EngineTraits = TRAITS, **runner: object) -> World:
         newest: dict[str, int] = {}
-        world = World(Desk(traits, newest), {}, newest=newest)
+        world = World(AdapterScheduler(traits, newest), {}, newest=newest)
         in_progress: list[int] = []
         for number in range(count):
             life = ServerLife(f"i-{number}")
             world.runners[life] = FakeRunner(life, in_progress=in_progress, **runner)
-            world.desk.came(life)
+            world.desk.add_runner(life)
         return world
 
     return make
--- a/tests/placement/test_copies.py
+++ b/tests/placement/test_copies.py
@@ -23,18 +23,18 @@
     world.use(crowded, "a1", requests=12, unread=16_000)
     world.run(1_500)
     assert len(holders(world, "a1")) == 2
-    assert world.desk.copies == 1
+    assert world.desk.replica_load_count == 1
 
 
 def test_runners_that_are_loaded_alike_need_no_copies(make_world):
     world = make_world(3)
     for number, life in enumerate(world.runners):
-        world.ask(f"a{number}", avoid=frozenset(world.runners) - {life})
+        world.ask(f"a{number}", excluded_runners=frozenset(world.runners) - {life})
     world.run(400)
     for number, life in enumerate(world.runners):
         world.use(life, f"a{number}", requests=12, unread=16_000)
     world.run(1_500)
-    assert world.desk.copies == 0
+    assert world.desk.replica_load_count == 0
 
 
 def test_a_copy_takes_no_place_from_who_has_none(make_world):
@@ -42,24 +42,24 @@
     world = make_world(2)
     for life in world.runners:
         for number in range(6):
-            world.ask(f"{life}-{number}", avoid=frozenset(world.runners) - {life})
+            world.ask(f"{life}-{number}", excluded_runners=frozenset(world.runners) - {life})
             world.run(300)
             world.use(life, f"{life}-{number}")
     world.use("i-0", "i-0-0", requests=10, unread=20_000)
     world.free("i-1", "i-1-3")
-    world.ask("waits", until_ms=world.now_ms + 60_000)
+    world.ask("waits", deadline_ms=world.now_ms + 60_000)
     world.run(1_000)
     assert world.placed("waits") == "i-1"
-    assert world.desk.copies == 0
+    assert world.desk.replica_load_count == 0
 
 
 def test_what_is_worth_more_is_not_dropped_for_a_copy(make_world):
     world = make_world(2)
     for number in range(6):
-        world.ask(f"b{number}", avoid=frozenset({"i-0"}))
+        world.ask(f"b{number}", excluded_runners=frozenset({"i-0"}))
         world.run(300)
         world.use("i-1", f"b{number}", requests=40)
-    world.ask("a1", avoid=frozenset({"i-1"}))
+    world.ask("a1", excluded_runners=frozenset({"i-1"}))
     world.run(3_000)
     for number in range(6):
         world.free("i-1", f"b{number}")
--- a/tests/placement/test_desk.py
+++ b/tests/placement/test_desk.py
@@ -7,8 +7,8 @@
 from monsoonflow.core.adapter import AdapterRef
 from monsoonflow.helpers.hashing import weight
 from monsoonflow.orders.models import Gone, Operation, Superseded, Unusable
-from monsoonflow.placement.runner_choice import RunnerChoice
-from monsoonflow.placement.waiting import NoPlace
+from monsoonflow.placement.load_target import LoadTargetSelector
+from monsoonflow.placement.request_queue import NoSlot
 from tests.placement.conftest import MODEL, TRAITS, FakeRunner
 
 
@@ -27,7 +27,7 @@
         world.ask("a1", f"r{number}")
     world.run(400)
     assert len({world.placed(f"r{number}") for number in range(10)}) == 1
-    assert world.desk.loads == 1
+    assert world.desk.load_count == 1
 
 
 def test_an_adapter_goes_back_to_the_runner_that_held_it(make_world):
@@ -43,11 +43,11 @@
         world.ask(f"b{number}")
         world.run(400)
     assert not any(runner.held.get(f"{MODEL}/a1") for runner in world.runners.values())
-    cold = world.desk.cold_loads
+    cold = world.desk.cold_load_count
     world.ask("a1", "again")
     world.run(80)
     assert world.placed("again") == home
-    assert world.desk.cold_loads == cold
+    assert world.desk.cold_load_count == cold
 
 
 def test_what_is_in_use_is_never_unloaded(make_world):
@@ -135,7 +135,7 @@
     world.run(3_000)
     for number in range(50):
         world.ask(f"b{number}")
-    refused = [r for r in world.settled.values() if isinstance(r, NoPlace)]
+    refused = [r for r in world.settled.values() if isinstance(r, NoSlot)]
     assert len(refused) >= 40
     assert all(r.retry_after_ms >= 250 for r in refused)
 
@@ -159,7 +159,7 @@
     """
     world = make_world(6, shared_store=8)
     for number in range(60):
-        world.ask(f"a{number}", until_ms=world.now_ms + 60_000)
+        world.ask(f"a{number}", deadline_ms=world.now_ms + 60_000)
     at_once = []
     for _ in range(200):
         world.run(10)
@@ -178,7 +178,7 @@
     world = make_world()
     world.lose = 3
     for number in range(14):
-        world.ask(f"a{number}", until_ms=world.now_ms + 20_000)
+        world.ask(f"a{number}", deadline_ms=world.now_ms + 20_000)
     world.run(8_000)
     assert sum(world.placed(f"a{number}") is not None for number in range(14)) == 14
     assert world.late == []
@@ -194,12 +194,12 @@
     world.ask("a2")
     world.run(600)
     assert world.placed("a2") == "i-0"
-    assert world.desk.runners["i-0"].ready(f"{MODEL}/other") is not None
+    assert world.desk.runners["i-0"].ready_slot(f"{MODEL}/other") is not None
 
 
 def test_a_runner_that_lost_its_model_gets_it_again(make_world):
     world = make_world(model=None)
-    world.ask("a1", until_ms=10_000)
+    world.ask("a1", deadline_ms=10_000)
     world.run(3_500)
     assert world.runners["i-0"].model == MODEL
     assert world.placed("a1") == "i-0"
@@ -212,7 +212,7 @@
     """
     world = make_world(40, model=None)
     world.run(300)
-    began = [step for step in world.steps if not step.confirms]
+    began = [step for step in world.steps if not step.is_confirmation]
     assert 1 <= len(began) <= TRAITS.loads_per_s * 5
 
 
@@ -221,7 +221,7 @@
     world.ask("a1")
     world.run(400)
     world.newest[f"{MODEL}/a1"] = 2
-    world.ask("a1", "new", version=2)
+    world.ask("a1", "new", min_version=2)
     world.run(600)
     assert world.placed("new") == "i-0"
     assert world.settled["new"].version == 2
@@ -238,7 +238,7 @@
     old = world.placed("a1")
     world.use(old, "a1")
     world.newest[f"{MODEL}/a1"] = 2
-    world.ask("a1", "new", version=2)
+    world.ask("a1", "new", min_version=2)
     world.run(600)
     assert world.placed("new") not in (None, old)
 
@@ -256,11 +256,11 @@
     world.use(life, "a1", requests=3)
     world.run(1_000)
     assert not any(step.operation is Operation.UNLOAD for step in world.steps)
-    world.desk._over = lambda ref: ref.version < 2
+    world.desk._is_retired = lambda ref: ref.version < 2
     world.lose = 1
     world.run(100)
     assert world.runners[life].held == {}
-    assert not world.desk.runners[life].seats
+    assert not world.desk.runners[life].slots
 
 
 def test_late_loads_do_not_hold_up_the_drop_of_an_old_version(make_world):
@@ -278,7 +278,7 @@
     coming = world.runners[life].coming
     coming.update({name: (version, 10**9) for name, (version, _) in coming.items()})
     world.run(400)
-    world.desk._over = lambda ref: ref.name == f"{MODEL}/a1"
+    world.desk._is_retired = lambda ref: ref.name == f"{MODEL}/a1"
     world.run(60, every_ms=20)
     assert f"{MODEL}/a1" not in world.runners[life].held
 
@@ -286,9 +286,9 @@
 def test_a_version_whose_time_is_over_is_not_granted(make_world):
     """Its load ended after its term; a node that has not heard of the new version asks for it."""
     world = make_world()
-    world.ask("a1", until_ms=world.now_ms + 5_000)
+    world.ask("a1", deadline_ms=world.now_ms + 5_000)
     world.run(100)
-    world.desk._over = lambda ref: ref.version < 2
+    world.desk._is_retired = lambda ref: ref.version < 2
     world.run(400)
     assert world.placed("a1") is None
 
@@ -301,20 +301,20 @@
     life = world.placed("a1")
     runner = world.runners[life]
     runner.unloads_wait = True
-    world.desk._over = lambda ref: ref.version < 2
+    world.desk._is_retired = lambda ref: ref.version < 2
     before = len(world.steps)
     world.run(3_000)
     assert 5 < len(world.steps) - before < 40
     runner.unloads_wait = False
     world.run(1_000)
-    assert not world.desk.runners[life].seats
+    assert not world.desk.runners[life].slots
 
 
 def test_the_bound_on_adapters_follows_from_the_weights_too(make_world):
     traits = attrs.evolve(TRAITS, weights_mb=34_300 + 100)
     world = make_world(traits=traits, slots=2)
     for number in range(10):
-        world.ask(f"a{number}", until_ms=world.now_ms + 20_000)
+        world.ask(f"a{number}", deadline_ms=world.now_ms + 20_000)
     world.run(8_000)
     assert max(len(r.held) + len(r.coming) for r in world.runners.values()) <= 2
 
@@ -324,7 +324,7 @@
     world.run(50)
     world.ask("a1")
     step = world.desk.plan(world.now_ms, {})[0]
-    assert not world.desk.answered(step, Superseded(), world.now_ms)
+    assert not world.desk.handle_order_result(step, Superseded(), world.now_ms)
 
 
 def test_who_waits_is_sent_on_when_the_duty_ends(make_world):
@@ -345,7 +345,7 @@
     for _ in range(20):
         step = world.desk.plan(world.now_ms, {})
         if step:
-            world.desk.answered(step[0], Unusable("no connection"), world.now_ms)
+            world.desk.handle_order_result(step[0], Unusable("no connection"), world.now_ms)
         world.run(100)
         world.runners["i-0"].model_at_ms = world.runners["i-0"].model = None
     world.run(3_000)
@@ -357,7 +357,7 @@
     world.run(50)
     world.ask("a1")
     step = world.desk.plan(world.now_ms, {})[0]
-    assert world.desk.answered(step, Gone(), world.now_ms)
+    assert world.desk.handle_order_result(step, Gone(), world.now_ms)
     assert step.life not in world.desk.runners
 
 
@@ -374,7 +374,7 @@
     away = min(world.runners, key=lambda life: weight(ref.name, life))
     world.runners[away].known.add((ref.name, 1))
     for life in world.runners:
-        world.desk.came(life, [ref] if life == away else [])
+        world.desk.add_runner(life, [ref] if life == away else [])
     world.run(20)
     world.ask("a1")
     world.run(80)
@@ -388,11 +388,11 @@
     world.run(400)
     home = world.placed("a1")
     world.runners[home].held.clear()
-    world.desk.runners[home].seats.clear()
-    world.desk.runners[home].ordering = True
+    world.desk.runners[home].slots.clear()
+    world.desk.runners[home].has_call_in_progress = True
     world.ask("a1", "again")
     assert world.desk.plan(world.now_ms, {}) == []
-    world.desk.runners[home].ordering = False
+    world.desk.runners[home].has_call_in_progress = False
     assert [step.life for step in world.desk.plan(world.now_ms, {})] == [home]
 
 
@@ -403,7 +403,7 @@
     """
     world = make_world(12)
     for number in range(72):
-        world.ask(f"a{number}", until_ms=world.now_ms + 60_000)
+        world.ask(f"a{number}", deadline_ms=world.now_ms + 60_000)
     world.run(2_000)
     assert sum(world.placed(f"a{number}") is not None for number in range(72)) == 72
 
@@ -414,16 +414,16 @@
     The most urgent are looked at, each once; those behind them have their turn in later plans.
     """
     asked_for: list[str] = []
-    best = RunnerChoice.best
+    best = LoadTargetSelector.select
 
     def noting(self, waiter, *rest):
-        asked_for.append(waiter.name)
+        asked_for.append(waiter.adapter_name)
         return best(self, waiter, *rest)
 
-    monkeypatch.setattr(RunnerChoice, "best", noting)
+    monkeypatch.setattr(LoadTargetSelector, "select", noting)
     world = make_world(2)
     for number in range(300):
-        world.ask(f"a{number}", until_ms=world.now_ms + 600_000, on_time_until_ms=10**9)
+        world.ask(f"a{number}", deadline_ms=world.now_ms + 600_000, on_time_until_ms=10**9)
     world.turn()
     assert asked_for[:64] == [f"{MODEL}/a{number}" for number in range(64)]
     assert len(asked_for) <= 64
@@ -458,7 +458,7 @@
     assert "next" not in world.settled
     world.run(400)
     assert world.placed("next") not in (None, first)
-    assert world.desk.loads == 2
+    assert world.desk.load_count == 2
 
 
 def test_grants_between_two_reports_do_not_overrun_a_runner(make_world):
@@ -482,7 +482,7 @@
         world.use(life, "z", requests=90, unread=200_000)
     _waits_for_reading(world, "r")
     refusal = world.settled["r"]
-    assert isinstance(refusal, NoPlace)
+    assert isinstance(refusal, NoSlot)
     assert 6_000 <= refusal.retry_after_ms <= 6_300
 
 
@@ -493,11 +493,11 @@
     world.run(400)
     first = world.placed("a1")
     other = next(life for life in world.runners if life != first)
-    world.ask("b1", avoid=frozenset({first}))
+    world.ask("b1", excluded_runners=frozenset({first}))
     world.run(400)
     world.use(other, "b1", requests=2, unread=4_000)
     world.use(first, "a1", requests=90, unread=200_000)
-    loads = world.desk.loads
+    loads = world.desk.load_count
     _waits_for_reading(world, "r")
     world.run(300)
-    assert world.desk.loads == loads
+    assert world.desk.load_count == loads
--- a/tests/placement/test_late_holder.py
+++ b/tests/placement/test_late_holder.py
@@ -18,7 +18,7 @@
             world.ask(f"calm{number}")
         world.run(600)
         for number in range(900):
-            world.ask(f"a{number}", until_ms=world.now_ms + 600_000, on_time_until_ms=10**9)
+            world.ask(f"a{number}", deadline_ms=world.now_ms + 600_000, on_time_until_ms=10**9)
         at_once = []
         for _ in range(66):
             world.run(LATE_MS, every_ms=LATE_MS)
--- a/tests/placement/test_load_limit.py
+++ b/tests/placement/test_load_limit.py
@@ -76,7 +76,9 @@
             self.busy.append(self._sent())
 
     def _in_progress(self) -> int:
-        return sum(self.limit.on_its_way(self.now_ms - load.began_ms) for load in self.loads)
+        return sum(
+            self.limit.may_be_in_progress(self.now_ms - load.began_ms) for load in self.loads
+        )
 
     def _sent(self) -> int:
         """Return how many loads the store is sending."""
@@ -93,7 +95,7 @@
         for load in [load for load in self.loads if load.seen_ms <= self.now_ms]:
             self.loads.remove(load)
             self.ended += 1
-            self.limit.complete(self.now_ms - load.began_ms, load.among, self.now_ms)
+            self.limit.record_load(self.now_ms - load.began_ms, load.among, self.now_ms)
 
 
 def quiet(rng: random.Random) -> Delay:
--- a/tests/placement/test_model_loads.py
+++ b/tests/placement/test_model_loads.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from monsoonflow.placement.model_loads import ModelLoads
+from monsoonflow.placement.model_load_limit import ModelLoadLimit
 
 WINDOW_MS = 5_000
 STEP_MS = 20
@@ -17,10 +17,10 @@
     """
     began = []
     for from_ms, until_ms in zip(holders_ms, [*holders_ms[1:], end_ms], strict=True):
-        loads = ModelLoads(loads_per_s, WINDOW_MS, from_ms)
+        loads = ModelLoadLimit(loads_per_s, WINDOW_MS, from_ms)
         for now_ms in range(from_ms, until_ms, STEP_MS):
-            if loads.allowed(now_ms):
-                loads.began(now_ms)
+            if loads.allows(now_ms):
+                loads.record_start(now_ms)
                 began.append(now_ms)
     return began
 
@@ -35,14 +35,14 @@
 
 
 def test_a_holder_of_a_while_has_its_whole_share_at_once():
-    loads = ModelLoads(2.8, WINDOW_MS, 0)
-    assert not loads.allowed(100)
+    loads = ModelLoadLimit(2.8, WINDOW_MS, 0)
+    assert not loads.allows(100)
     began = 0
-    while loads.allowed(WINDOW_MS):
-        loads.began(WINDOW_MS)
+    while loads.allows(WINDOW_MS):
+        loads.record_start(WINDOW_MS)
         began += 1
     assert began == 7
 
 
 def test_a_load_that_is_wanted_rarely_is_begun_at_the_lowest_rate():
-    assert ModelLoads(0.01, WINDOW_MS, 0).allowed(WINDOW_MS)
+    assert ModelLoadLimit(0.01, WINDOW_MS, 0).allows(WINDOW_MS)
--- a/tests/placement/test_returners.py
+++ b/tests/placement/test_returners.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from monsoonflow.placement.returners import KEPT_MS
-from monsoonflow.placement.waiting import NoPlace, Placed
+from monsoonflow.placement.request_queue import NoSlot, Placed
+from monsoonflow.placement.returning_callers import RETENTION_MS
 from tests.placement.conftest import MODEL
 
 
@@ -24,13 +24,13 @@
     world = make_world()
     crowd(world)
     first_ms = world.now_ms
-    world.ask("b", "first", session="5c1e", until_ms=world.now_ms + 100)
+    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
     world.run(200)
-    assert isinstance(world.settled["first"], NoPlace)
-    back = world.ask("b", "back", session="5c1e")
-    assert back.since_ms == first_ms
+    assert isinstance(world.settled["first"], NoSlot)
+    back = world.ask("b", "back", session_key="5c1e")
+    assert back.first_attempt_ms == first_ms
     assert back.tried_ms == 200
-    new = world.ask("b", "new", session="77aa")
+    new = world.ask("b", "new", session_key="77aa")
     assert new.tried_ms == 0
     assert new.on_time_until_ms - back.on_time_until_ms == 200
 
@@ -38,10 +38,10 @@
 def test_who_comes_back_gets_its_place_after_who_can_still_be_on_time(make_world):
     world = make_world()
     crowd(world)
-    world.ask("b", "first", session="5c1e", until_ms=world.now_ms + 100)
+    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
     world.run(500)
-    world.ask("b", "back", session="5c1e")
-    world.ask("c", "new", session="77aa")
+    world.ask("b", "back", session_key="5c1e")
+    world.ask("c", "new", session_key="77aa")
     world.free("i-0", "a3")
     world.run(400)
     assert world.placed("new") == "i-0"
@@ -52,9 +52,9 @@
     """Its node ranks it at the runner by that: who is late already goes behind."""
     world = make_world()
     crowd(world)
-    world.ask("b", "first", session="5c1e", until_ms=world.now_ms + 100)
+    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
     world.run(200)
-    world.ask("b", "back", session="5c1e")
+    world.ask("b", "back", session_key="5c1e")
     world.free("i-0", "a3")
     world.run(600)
     result = world.settled["back"]
@@ -65,13 +65,13 @@
 def test_a_prompt_without_parts_and_an_old_refusal_tell_nothing(make_world):
     world = make_world()
     crowd(world)
-    world.ask("b", "none", until_ms=world.now_ms + 100)
-    world.ask("c", "old", session="5c1e", until_ms=world.now_ms + 100)
+    world.ask("b", "none", deadline_ms=world.now_ms + 100)
+    world.ask("c", "old", session_key="5c1e", deadline_ms=world.now_ms + 100)
     world.run(200)
     assert world.ask("b", "none again").tried_ms == 0
-    world.now_ms += KEPT_MS + 1_000
-    assert world.ask("c", "old again", session="5c1e").tried_ms == 0
-    assert f"{MODEL}/c" in {waiter.name for waiter in world.desk.waiters}
+    world.now_ms += RETENTION_MS + 1_000
+    assert world.ask("c", "old again", session_key="5c1e").tried_ms == 0
+    assert f"{MODEL}/c" in {waiter.adapter_name for waiter in world.desk.queued_requests}
 
 
 def test_a_caller_known_twice_to_have_come_back_is_aged_once(make_world):
@@ -79,7 +79,7 @@
     world = make_world()
     crowd(world)
     first_ms = world.now_ms
-    world.ask("b", "first", session="5c1e", until_ms=world.now_ms + 100)
+    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
     world.run(200)
-    back = world.ask("b", "back", session="5c1e", since_ms=first_ms, tried_ms=200)
+    back = world.ask("b", "back", session_key="5c1e", first_attempt_ms=first_ms, tried_ms=200)
     assert (back.tried_ms, back.on_time_until_ms) == (200, world.now_ms + 700)
--- a/tests/placement/test_waiting.py
+++ b/tests/placement/test_waiting.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from monsoonflow.placement.waiting import Pace, Waiter
+from monsoonflow.placement.request_queue import QueueAdmission, QueuedRequest
 
 
-def waiter(name: str, since_ms: int, on_time_until_ms: int, load_ms: int = 250) -> Waiter:
+def waiter(name: str, since_ms: int, on_time_until_ms: int, load_ms: int = 250) -> QueuedRequest:
     """Return a request that waits."""
-    return Waiter(
-        name=name,
-        version=1,
+    return QueuedRequest(
+        adapter_name=name,
+        min_version=1,
         priority=1,
-        since_ms=since_ms,
+        first_attempt_ms=since_ms,
         on_time_until_ms=on_time_until_ms,
-        until_ms=on_time_until_ms + 3_000,
-        avoid=frozenset(),
-        settle=lambda _: None,
-        load_ms=load_ms,
+        deadline_ms=on_time_until_ms + 3_000,
+        excluded_runners=frozenset(),
+        on_result=lambda _: None,
+        expected_load_ms=load_ms,
     )
 
 
@@ -28,18 +28,18 @@
     """
     old = waiter("old", since_ms=0, on_time_until_ms=600)
     young = waiter("young", since_ms=400, on_time_until_ms=1_000)
-    assert sorted([old, young], key=lambda w: w.urgency(500)) == [young, old]
+    assert sorted([old, young], key=lambda w: w.sort_key(500)) == [young, old]
     held_before = waiter("held before", since_ms=0, on_time_until_ms=600, load_ms=25)
-    assert sorted([young, held_before], key=lambda w: w.urgency(500)) == [held_before, young]
+    assert sorted([young, held_before], key=lambda w: w.sort_key(500)) == [held_before, young]
 
 
 def test_who_is_late_by_the_time_of_its_load_waits_in_the_queue_of_the_late():
     """Places go to those on time first; a late one gets what they leave, and is told so early."""
-    pace = Pace()
+    pace = QueueAdmission()
     on_time = [waiter(f"a{i}", 0, 900) for i in range(60)]
     for one in on_time[:40]:
-        pace.placed(one, 500)
+        pace.record_assignment(one, 500)
     late = [waiter(f"b{i}", 0, 600) for i in range(30)]
-    refused = {w.name for w, _ in pace.hopeless([*on_time[:20], *late], 12, 0, 500)}
-    assert not refused & {w.name for w in on_time}
+    refused = {w.adapter_name for w, _ in pace.check_queue([*on_time[:20], *late], 12, 0, 500)}
+    assert not refused & {w.adapter_name for w in on_time}
     assert refused
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -338,18 +338,22 @@
     control = EngineControl(MonotonicClock())
     order = Order(Operation.LOAD, "m/a1", None, 0, "n1", 5)
     try:
-        assert control.order(ServerLife("i-1"), runner.address, order) == Accepted(complete=False)
-        assert isinstance(control.order(ServerLife("i-1"), runner.address, order), Stale)
+        assert control.send_order(ServerLife("i-1"), runner.address, order) == Accepted(
+            complete=False
+        )
+        assert isinstance(control.send_order(ServerLife("i-1"), runner.address, order), Stale)
         again = attrs.evolve(order, sequence=1)
-        assert control.order(ServerLife("i-1"), runner.address, again) == Accepted(complete=True)
+        assert control.send_order(ServerLife("i-1"), runner.address, again) == Accepted(
+            complete=True
+        )
         old = attrs.evolve(again, fence=4)
-        assert control.order(ServerLife("i-1"), runner.address, old) == Superseded()
-        assert control.order(ServerLife("i-2"), runner.address, again) == Gone()
-        assert isinstance(control.order(ServerLife("i-2"), "127.0.0.1:1", again), Unusable)
-        report = control.report(ServerLife("i-1"), runner.address)
+        assert control.send_order(ServerLife("i-1"), runner.address, old) == Superseded()
+        assert control.send_order(ServerLife("i-2"), runner.address, again) == Gone()
+        assert isinstance(control.send_order(ServerLife("i-2"), "127.0.0.1:1", again), Unusable)
+        report = control.fetch_report(ServerLife("i-1"), runner.address)
         assert report.sequence == 1
         assert report.models[0].adapters == (AdapterRef("m/a1", 1),)
-        assert control.report(ServerLife("i-2"), runner.address) == Gone()
-        assert control.report(ServerLife("i-1"), "127.0.0.1:1") is None
+        assert control.fetch_report(ServerLife("i-2"), runner.address) == Gone()
+        assert control.fetch_report(ServerLife("i-1"), "127.0.0.1:1") is None
     finally:
         runner.stop()
--- a/tests/randomised/orders.py
+++ b/tests/randomised/orders.py
@@ -15,10 +15,10 @@
 import attrs
 
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.orders.models import Operation, OrderAnswer, Superseded, Unanswered
-from monsoonflow.placement.desk import Desk
-from monsoonflow.placement.seats import Step
-from monsoonflow.placement.waiting import Placed, Waiter
+from monsoonflow.orders.models import Operation, OrderResult, Superseded, Unanswered
+from monsoonflow.placement.request_queue import Placed, QueuedRequest
+from monsoonflow.placement.scheduler import AdapterScheduler
+from monsoonflow.placement.slots import OrderStep
 from monsoonflow.routing.in_flight import ServerWork
 from tests.placement.conftest import MODEL, TRAITS, FakeRunner
 
@@ -34,7 +34,7 @@
 
     fence: int = 0
 
-    def take(self, step: Step, fence: int, now_ms: int) -> OrderAnswer:
+    def take(self, step: OrderStep, fence: int, now_ms: int) -> OrderResult:
         """Carry out an order, unless a newer holder has spoken."""
         if fence < self.fence:
             return Superseded()
@@ -61,7 +61,7 @@
         self.newest: dict[str, int] = {}
         self.runners: dict[str, Runner] = {}
         self.uses: list[Use] = []
-        self.late: list[tuple[int, str, Step, int]] = []
+        self.late: list[tuple[int, str, OrderStep, int]] = []
         self.model_loads: list[int] = []
         self.broken: list[str] = []
         self.fence = 1
@@ -69,7 +69,7 @@
         self.served = 0
         loads_per_s = self.rng.choice((0.2, 0.5, 2.8))
         self.traits = attrs.evolve(TRAITS, adapter_slots=self.slots, loads_per_s=loads_per_s)
-        self.desk = Desk(self.traits, self.newest, LOAD_WINDOW_MS)
+        self.desk = AdapterScheduler(self.traits, self.newest, LOAD_WINDOW_MS)
         for _ in range(self.rng.randint(2, 8)):
             self._add_runner(MODEL)
 
@@ -105,20 +105,22 @@
         self.count += 1
         life = ServerLife(f"i-{self.count}")
         self.runners[life] = Runner(life, self.slots, model)
-        self.desk.came(life)
+        self.desk.add_runner(life)
 
     def _crash(self, life: ServerLife) -> None:
         del self.runners[life]
-        self.desk.gone(life)
+        self.desk.remove_runner(life)
         self.uses = [use for use in self.uses if use.life != life]
         self._add_runner(None)
 
     def _change_holder(self) -> None:
         self.desk.close()
         self.fence += 1
-        self.desk = Desk(self.traits, self.newest, LOAD_WINDOW_MS, since_ms=self.now_ms)
+        self.desk = AdapterScheduler(
+            self.traits, self.newest, LOAD_WINDOW_MS, holder_since_ms=self.now_ms
+        )
         for life in self.runners:
-            self.desk.came(life)
+            self.desk.add_runner(life)
 
     def _turn(self, asks: float, lost: float) -> None:
         self.now_ms += STEP_MS
@@ -127,29 +129,29 @@
         work = self._work()
         if self.rng.random() < asks:
             self._ask(work)
-        for waiter in [w for w in self.desk.waiters if w.until_ms <= self.now_ms]:
-            self.desk.forget(waiter, self.now_ms)
-        for life in self.desk.wants_report(self.now_ms):
+        for waiter in [w for w in self.desk.queued_requests if w.deadline_ms <= self.now_ms]:
+            self.desk.remove_request(waiter, self.now_ms)
+        for life in self.desk.runners_needing_report(self.now_ms):
             runner = self.runners[life]
             runner.settle(self.now_ms)
-            self.desk.reported(life, runner.report(), self.now_ms)
-        self.desk.settle_waiters(self.now_ms, work)
+            self.desk.handle_report(life, runner.report(), self.now_ms)
+        self.desk.process_queue(self.now_ms, work)
         for step in self.desk.plan(self.now_ms, self._work()):
             self._send(step, lost)
 
     def _ask(self, work: dict[str, ServerWork]) -> None:
         name = f"{MODEL}/a{self._popular()}"
-        waiter = Waiter(
-            name=name,
-            version=self.newest.get(name, 1),
+        waiter = QueuedRequest(
+            adapter_name=name,
+            min_version=self.newest.get(name, 1),
             priority=self.rng.randint(0, 2),
-            since_ms=self.now_ms,
+            first_attempt_ms=self.now_ms,
             on_time_until_ms=self.now_ms + 700,
-            until_ms=self.now_ms + 3_000,
-            avoid=frozenset(),
-            settle=lambda result: self._settled(name, result),
+            deadline_ms=self.now_ms + 3_000,
+            excluded_runners=frozenset(),
+            on_result=lambda result: self._settled(name, result),
         )
-        self.desk.ask(waiter, self.now_ms, work)
+        self.desk.request_slot(waiter, self.now_ms, work)
 
     def _popular(self) -> int:
         return min(500, int(self.rng.paretovariate(0.6)))
@@ -168,18 +170,18 @@
             at.requests_by_adapter[use.name] += 1
         return work
 
-    def _send(self, step: Step, lost: float) -> None:
+    def _send(self, step: OrderStep, lost: float) -> None:
         self._check(step)
         runner = self.runners[step.life]
-        if not step.confirms and self.rng.random() < lost:
+        if not step.is_confirmation and self.rng.random() < lost:
             if self.rng.random() < 0.6:
                 due_ms = self.now_ms + self.rng.randint(200, 4_000)
                 self.late.append((due_ms, step.life, step, self.fence))
-            self.desk.answered(step, Unanswered("lost"), self.now_ms)
+            self.desk.handle_order_result(step, Unanswered("lost"), self.now_ms)
             return
         self._apply(runner, step, self.fence, answered=True)
 
-    def _apply(self, runner: Runner, step: Step, fence: int, answered: bool) -> None:
+    def _apply(self, runner: Runner, step: OrderStep, fence: int, answered: bool) -> None:
         sequence = runner.sequence
         answer = runner.take(step, fence, self.now_ms)
         if step.name == MODEL and runner.sequence > sequence:
@@ -188,7 +190,7 @@
             self.broken.append(f"{runner.life} was ordered to hold more than it can")
             runner.crashed = False
         if answered:
-            self.desk.answered(step, answer, self.now_ms)
+            self.desk.handle_order_result(step, answer, self.now_ms)
 
     def _carry_out_late(self) -> None:
         due = [entry for entry in self.late if entry[0] <= self.now_ms]
@@ -197,9 +199,9 @@
             if life in self.runners:
                 self._apply(self.runners[life], step, fence, answered=False)
 
-    def _check(self, step: Step) -> None:
+    def _check(self, step: OrderStep) -> None:
         used = any(u.life == step.life and u.name == step.name for u in self.uses)
-        if step.operation is Operation.UNLOAD and used and not step.confirms:
+        if step.operation is Operation.UNLOAD and used and not step.is_confirmation:
             self.broken.append(f"{step.name} is dropped at {step.life} while in use")
 
     def _model_load(self) -> None:
--- a/tests/randomised/without.py
+++ b/tests/randomised/without.py
@@ -20,9 +20,9 @@
 from monsoonflow.orders.models import Unanswered
 from monsoonflow.ownership.lease import HeldLease
 from monsoonflow.ownership.quarantine import Quarantine
-from monsoonflow.placement.desk import Desk
-from monsoonflow.placement.idle import IdlePlaces
-from monsoonflow.placement.model_loads import ModelLoads
+from monsoonflow.placement.idle_slots import IdleSlots
+from monsoonflow.placement.model_load_limit import ModelLoadLimit
+from monsoonflow.placement.scheduler import AdapterScheduler
 from monsoonflow.request import life as life_module
 from monsoonflow.request.const import State
 from monsoonflow.request.models import ChunkVerdict
@@ -176,7 +176,7 @@
 
 def doubtful_orders() -> None:
     """Give the place of an order without an answer to another adapter."""
-    original = Desk.answered
+    original = AdapterScheduler.handle_order_result
 
     def answered(self: Any, step: Any, answer: Any, now_ms: int) -> bool:
         known = original(self, step, answer, now_ms)
@@ -186,22 +186,22 @@
             runner.sequence += 1
         return known
 
-    replace(Desk, "answered", answered)
+    replace(AdapterScheduler, "handle_order_result", answered)
 
 
 def places_in_use() -> None:
     """Take places from requests that are in progress."""
-    original = IdlePlaces._idle
+    original = IdleSlots._idle
 
     def idle(self: Any, runner: Any, now_ms: int, _work: Any) -> Any:
         return original(self, runner, now_ms + 1_000, {})
 
-    replace(IdlePlaces, "_idle", idle)
+    replace(IdleSlots, "_idle", idle)
 
 
 def model_rate() -> None:
     """Load base models as soon as a runner lacks one."""
-    replace(ModelLoads, "allowed", lambda _self, _now_ms: True)
+    replace(ModelLoadLimit, "allows", lambda _self, _now_ms: True)
 
 
 ORDERS: frozenset[str] = frozenset({"doubtful_orders", "places_in_use", "model_rate"})
