--- a/measure/desk.py
+++ b/measure/desk.py
@@ -23,7 +23,7 @@
 from monsoonflow.entry.own_word import OwnWord  # noqa: E402
 from monsoonflow.entry.residency import Residency  # noqa: E402
 from monsoonflow.fleet import codec  # noqa: E402
-from monsoonflow.fleet.rounds import EVERY_MS  # noqa: E402
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS  # noqa: E402
 from monsoonflow.fleet.view import FleetView  # noqa: E402
 from monsoonflow.placement.scheduler import AdapterScheduler  # noqa: E402
 
@@ -34,7 +34,7 @@
 
 PARTS: Final[tuple[tuple[str, Any, str], ...]] = (
     ("decoding reports", codec, "decode"),
-    ("taking reports", FleetView, "heard"),
+    ("taking reports", FleetView, "receive"),
     ("adding up work", Duties, "_work"),
     ("asking", AdapterScheduler, "request_slot"),
     ("settling", AdapterScheduler, "process_queue"),
@@ -84,7 +84,7 @@
 
 def _report_for_good(load: HolderLoad, meter: Meter) -> None:
     while True:
-        gevent.sleep(EVERY_MS / 1000)
+        gevent.sleep(HEARTBEAT_INTERVAL_MS / 1000)
         meter.run("encoding its own report", load.holders_report)
 
 
--- a/measure/desk_load.py
+++ b/measure/desk_load.py
@@ -22,8 +22,8 @@
 from monsoonflow.entry.duties import Duties, Duty
 from monsoonflow.entry.settings import PeerBounds
 from monsoonflow.fleet import codec
-from monsoonflow.fleet.models import NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.helpers.gevent_tasks import GeventTasks
 from monsoonflow.orders.models import Order, OrderResult, RunnerReport
@@ -158,7 +158,7 @@
     :param deliver: takes a report's bytes to the holder.
     """
 
-    card: NodeCard
+    card: NodeRecord
     deliver: Callable[[bytes], None]
     sequence: int = 0
     telling: bool = False
@@ -168,22 +168,22 @@
         """Tell the holder soon when an adapter begins or ends to be in use."""
         self.in_flight = InFlight(self._tell_soon)
 
-    def report(self) -> NodeReport:
+    def report(self) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
         work = self.in_flight.work_by_server
-        return NodeReport(self.card, self.sequence, True, False, 1, True, work)
+        return Heartbeat(self.card, self.sequence, True, False, 1, True, work)
 
     def tell(self) -> None:
         """Report to the holder."""
-        self.deliver(codec.encode(self.report()))
+        self.deliver(codec.encode_heartbeat(self.report()))
 
     def tell_for_good(self, after_s: float) -> None:
         """Report in each round."""
         gevent.sleep(after_s)
         while True:
             self.tell()
-            gevent.sleep(EVERY_MS / 1000)
+            gevent.sleep(HEARTBEAT_INTERVAL_MS / 1000)
 
     def _tell_soon(self) -> None:
         if not self.telling:
@@ -220,7 +220,7 @@
         """Let the nodes report and the holder plan."""
         self.duties.start()
         for asker in self.askers:
-            after_s = self.rng.uniform(0, EVERY_MS / 1000)
+            after_s = self.rng.uniform(0, HEARTBEAT_INTERVAL_MS / 1000)
             self._daemon.tasks.spawn(asker.tell_for_good, after_s)
 
     def stop(self) -> None:
@@ -283,14 +283,14 @@
         """Take a report as the holder does."""
         report = codec.decode(data)
         if report is not None:
-            self.view.heard(report, self.clock.now_ms())
+            self.view.receive(report, self.clock.now_ms())
 
     def holders_report(self) -> bytes:
         """Return the bytes of the holder's own report."""
         residency = self.duties.told_residency()
         work = self.in_flight.work_by_server
-        report = NodeReport(_card(HOLDER), 1, True, False, 1, True, work, residency=residency)
-        return codec.encode(report)
+        report = Heartbeat(_card(HOLDER), 1, True, False, 1, True, work, residency=residency)
+        return codec.encode_heartbeat(report)
 
     @property
     def duty(self) -> Duty:
@@ -317,10 +317,10 @@
             ),
             settings=SimpleNamespace(name=HOLDER, bounds=PeerBounds()),
             followed=None,
-            gossip=SimpleNamespace(send_now=lambda: None),
+            gossip=SimpleNamespace(send_round=lambda: None),
             metrics=SimpleNamespace(orders=_Metric(), order_time=_Metric()),
         )
 
 
-def _card(name: str) -> NodeCard:
-    return NodeCard(name, f"b-{name}", "dc", *["10.1.0.38:8149"] * 3)
+def _card(name: str) -> NodeRecord:
+    return NodeRecord(name, f"b-{name}", "dc", *["10.1.0.38:8149"] * 3)
--- a/measure/entry.py
+++ b/measure/entry.py
@@ -15,7 +15,12 @@
 from measure.output import show  # noqa: E402
 from monsoonflow.core.adapter import AdapterRef  # noqa: E402
 from monsoonflow.fleet import codec  # noqa: E402
-from monsoonflow.fleet.models import DutyClaim, HeldAdapters, NodeCard, NodeReport  # noqa: E402
+from monsoonflow.fleet.models import (  # noqa: E402
+    CellLeaseClaim,
+    Heartbeat,
+    NodeRecord,
+    ResidentAdapters,
+)
 from monsoonflow.helpers.logfmt import LineFormatter  # noqa: E402
 from monsoonflow.logs.lines import QueueHandler  # noqa: E402
 from monsoonflow.routing.budget import RetryUsage  # noqa: E402
@@ -86,8 +91,8 @@
 def _report(runners: int, adapters: int, uses: int) -> dict[str, float]:
     """Return bytes and processor time of one report between nodes."""
     refs = tuple(AdapterRef(f"model1a/a{number * 37 % 3_000}", 1) for number in range(adapters))
-    report = NodeReport(
-        NodeCard("front-zone-1-1", "b-0123456789abcdef", "zone-1", *(["10.1.0.38:8149"] * 3)),
+    report = Heartbeat(
+        NodeRecord("front-zone-1-1", "b-0123456789abcdef", "zone-1", *(["10.1.0.38:8149"] * 3)),
         12_345,
         True,
         False,
@@ -98,11 +103,11 @@
             for number in range(uses)
         },
         {f"s{number}": RetryUsage(80, 3) for number in range(2)},
-        claims=(DutyClaim("service1a", "front-zone-1-1", 9, ("n1", "n2", "n3")),),
-        residency=tuple(HeldAdapters(f"i-{number:010x}", refs) for number in range(runners)),
+        claims=(CellLeaseClaim("service1a", "front-zone-1-1", 9, ("n1", "n2", "n3")),),
+        residency=tuple(ResidentAdapters(f"i-{number:010x}", refs) for number in range(runners)),
     )
-    data = codec.encode(report)
-    encode = _spent(lambda: [codec.encode(report) for _ in range(1_000)])
+    data = codec.encode_heartbeat(report)
+    encode = _spent(lambda: [codec.encode_heartbeat(report) for _ in range(1_000)])
     decode = _spent(lambda: [codec.decode(data) for _ in range(1_000)])
     return {"bytes": len(data), "encode, us": encode * 1e3, "decode, us": decode * 1e3}
 
--- a/monsoonflow/address/advertised_nodes.py
+++ b/monsoonflow/address/advertised_nodes.py
@@ -15,7 +15,7 @@
 import attrs
 
 from ..helpers.hashing import weight
-from ..ownership.duty import machine_class
+from ..ownership.cell_lease import machine_class
 
 MAX_NODES_TO_ADVERTISE_ALL: Final = 16
 """A fleet of so many nodes names them all: each hears all others in two rounds at most."""
--- a/monsoonflow/api/operators.py
+++ b/monsoonflow/api/operators.py
@@ -51,8 +51,8 @@
                 "node": peer.row.node,
                 "data_centre": peer.row.data_centre,
                 "address": peer.row.http,
-                "leaving": peer.leaving,
-                "silent_ms": now_ms - peer.heard_ms,
+                "leaving": peer.is_leaving,
+                "silent_ms": now_ms - peer.last_seen_ms,
                 "config_version": peer.config_version,
             }
             for peer in context.membership.peer_by_incarnation.values()
@@ -74,7 +74,7 @@
                 "in_force_everywhere": all(
                     node["config_version"] >= context.config.version for node in nodes
                 ),
-                "lease_held": context.lease.held(now_ms),
+                "lease_held": context.lease.is_held(now_ms),
                 "nodes": sorted(nodes, key=lambda node: node["node"]),
                 "runners": [self._runner_row(name) for name in sorted(context.config.runner_by_id)],
                 "customers": len(context.config.customer_by_name),
--- a/monsoonflow/api/services.py
+++ b/monsoonflow/api/services.py
@@ -141,7 +141,7 @@
                     return Unknown(result.reason)
                 case Lost():
                     context.server_choice.record_end(address)
-                    context.leaving.check_failed(address)
+                    context.leaving.record_failed_check(address)
                     reason = result.reason
                     left.remove(address)
         return NotRun(reason, 1_000)
--- a/monsoonflow/entry/activity.py
+++ b/monsoonflow/entry/activity.py
@@ -49,5 +49,5 @@
             or bool(self._in_flight.work_by_server)
             or self._budget.is_busy(self._clock.now_ms())
             or self._watches()
-            or self._view.name in self._view.duty_names()
+            or self._view.name in self._view.holder_and_standby_names()
         )
--- a/monsoonflow/entry/address.py
+++ b/monsoonflow/entry/address.py
@@ -83,9 +83,9 @@
                     view.name in holders,
                 )
             )
-        for report in view.reports(now_ms):
-            card = view.card_by_name.get(report.name)
-            if card is None or not report.ready or report.leaving:
+        for report in view.heartbeats(now_ms):
+            card = view.record_by_name.get(report.name)
+            if card is None or not report.is_ready or report.is_leaving:
                 continue
             found.append(
                 CandidateNode(
--- a/monsoonflow/entry/beliefs.py
+++ b/monsoonflow/entry/beliefs.py
@@ -11,7 +11,7 @@
 from ..core.clock import Clock
 from ..core.server_life import ServerLife
 from ..discovery.registry import ServerRegistry
-from ..fleet.models import NamedVersion, NodeReport
+from ..fleet.models import Heartbeat, RecentVersion
 from ..logs import events, log
 from ..routing.routes import RouteTable
 
@@ -96,11 +96,11 @@
         passed_ms = self.passed_by_ms(ref.name, ref.version)
         return passed_ms is not None and self._clock.now_ms() - passed_ms > longer_than_ms
 
-    def recent_versions(self) -> tuple[NamedVersion, ...]:
+    def recent_versions(self) -> tuple[RecentVersion, ...]:
         """Return the versions that were named lately."""
         now_ms = self._clock.now_ms()
         return tuple(
-            NamedVersion(AdapterRef(name, named[-1].version), now_ms - named[-1].at_ms)
+            RecentVersion(AdapterRef(name, named[-1].version), now_ms - named[-1].at_ms)
             for name, named in self._named_by_adapter.items()
             if now_ms - named[-1].at_ms <= TELL_MS
         )
@@ -113,17 +113,17 @@
         """Return the servers that lately came."""
         return tuple(self.book.recently_added(self._clock.now_ms(), TELL_MS))
 
-    def take_report(self, report: NodeReport) -> bool:
+    def take_report(self, report: Heartbeat) -> bool:
         """Take what another node says of servers and versions; return whether it knows of more."""
         now_ms = self._clock.now_ms()
-        for life in report.left_servers:
+        for life in report.departed_servers:
             if life in self.book.server_by_life:
                 self.book.mark_leaving(life, now_ms, f"told by {report.name}")
         for told in report.versions:
             self.take_version(told.ref, report.name, now_ms - told.age_ms)
         # Asked for once: a report that goes on naming what the store does not hold would make each
         # node ask twice a second.
-        unknown = {life for life in report.came_servers if not self.book.is_known(life)}
+        unknown = {life for life in report.added_servers if not self.book.is_known(life)}
         news = unknown - self._asked_for.keys()
         self._asked_for.update(dict.fromkeys(news, now_ms))
         for life, at_ms in list(self._asked_for.items()):
--- a/monsoonflow/entry/cards.py
+++ b/monsoonflow/entry/cards.py
@@ -8,7 +8,7 @@
 
 from ..core.clock import Clock
 from ..core.tasks import Tasks
-from ..fleet.models import NodeCard
+from ..fleet.models import NodeRecord
 from ..fleet.view import FleetView
 from ..helpers.ids import new_id
 from ..logs import events, log
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        card: Callable[[], NodeCard],
+        card: Callable[[], NodeRecord],
         table: Table,
         view: FleetView,
         tasks: Tasks,
@@ -50,7 +50,7 @@
             self._tasks.sleep(RETRY_PAUSE_MS)
         while True:
             self._tasks.sleep(CHECK_EVERY_MS)
-            if self._view.card_by_name.get(self._view.name) != self._card():
+            if self._view.record_by_name.get(self._view.name) != self._card():
                 self._write()
             self._clear_away()
 
@@ -66,8 +66,8 @@
     def _clear_away(self) -> None:
         now_ms = self._clock.now_ms()
         own = self._view.name
-        names = sorted({own, *self._view.card_by_name})
-        alive = [name for name in names if name == own or self._view.alive(name, now_ms)]
+        names = sorted({own, *self._view.record_by_name})
+        alive = [name for name in names if name == own or self._view.is_alive(name, now_ms)]
         for name in names:
             if name in alive:
                 self._missing_since_by_name.pop(name, None)
--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -16,7 +16,7 @@
 from ..core.clock import Clock, MonotonicClock
 from ..core.tasks import Tasks
 from ..fleet.gossip import Gossip
-from ..fleet.models import NodeCard, NodeReport, WorkChange
+from ..fleet.models import Heartbeat, NodeRecord, WorkDelta
 from ..fleet.view import FleetView
 from ..gateway.backlog import Backlog
 from ..gateway.budget import SharedRetries
@@ -155,7 +155,7 @@
             self.table,
             self.tasks,
             self.clock,
-            self.gossip.send_to_all,
+            self.gossip.schedule_broadcast,
         )
         self.peers = PeerClient(self.view, self.clock, outside.decoders.table)
         self.duties = Duties(self, outside.runners())
@@ -167,7 +167,7 @@
             self._own_row,
             self.pools.forget,
             self._news,
-            self.gossip.send_to_all,
+            self.gossip.schedule_broadcast,
         )
         self.activity = Activity(
             self.view,
@@ -253,39 +253,39 @@
             and (self.followed.servers.loaded or self.peers.taught)
         )
 
-    def report(self) -> NodeReport:
+    def report(self) -> Heartbeat:
         """Return this node's word about itself."""
         self._sequence += 1
         claims = self.duties.claims()
-        self.view.sent(self._sequence, claims, self.clock.now_ms())
-        return NodeReport(
-            card=self._card(),
+        self.view.record_sent(self._sequence, claims, self.clock.now_ms())
+        return Heartbeat(
+            record=self._card(),
             sequence=self._sequence,
-            ready=self.ready(),
-            leaving=self.leaving,
+            is_ready=self.ready(),
+            is_leaving=self.leaving,
             config_version=self.report_version(),
-            store_heard=self.followed is not None and self.followed.reaches_store(),
+            is_store_reachable=self.followed is not None and self.followed.reaches_store(),
             work_by_server=self.in_flight.work_by_server,
-            spent_by_service=self.budget.usage_by_service(self.clock.now_ms()),
-            left_servers=self.beliefs.recent_left(),
+            retry_usage_by_service=self.budget.usage_by_service(self.clock.now_ms()),
+            departed_servers=self.beliefs.recent_left(),
             versions=self.beliefs.recent_versions(),
             claims=claims,
             residency=self.duties.told_residency(),
-            heard=self.view.heard_holders(),
-            came_servers=self.beliefs.recent_came(),
-            crowded=self.duties.crowded(),
+            acks=self.view.holder_acks(),
+            added_servers=self.beliefs.recent_came(),
+            overloaded_runners=self.duties.crowded(),
             lag_ms=round(self.pulse.lag_ms),
-            active=self.activity.look(),
-            retries=self.retries.memory(),
-            endings=self.quarantine.own_endings(),
-            quarantined=self.quarantine.told_quarantined(),
+            is_active=self.activity.look(),
+            retry_history=self.retries.memory(),
+            crashes=self.quarantine.own_endings(),
+            quarantined_fingerprints=self.quarantine.told_quarantined(),
         )
 
-    def _work_change(self) -> WorkChange:
+    def _work_change(self) -> WorkDelta:
         """Return what has changed of this node's work since this was last asked."""
         self._sequence += 1
         changed = self.in_flight.pop_changed()
-        return WorkChange(self.settings.name, self.boot, self._sequence, changed)
+        return WorkDelta(self.settings.name, self.boot, self._sequence, changed)
 
     def _look_for_servers(self) -> None:
         if self.followed is not None:
@@ -295,9 +295,9 @@
         if not self.quarantine.take_row(row):
             self.duties.own_row(row)
 
-    def _take_report(self, report: NodeReport) -> None:
+    def _take_report(self, report: Heartbeat) -> None:
         self.following.take_report(report)
-        self.quarantine.take_told(report.name, report.endings, report.quarantined)
+        self.quarantine.take_told(report.name, report.crashes, report.quarantined_fingerprints)
         if self.beliefs.take_report(report) and self.followed is not None:
             self.followed.servers.poke()
 
@@ -307,7 +307,7 @@
     def _news(self) -> None:
         """Tell the others what the store has just told this node."""
         self.duties.wake()
-        self.gossip.send_now()
+        self.gossip.send_round()
 
     def _watch_gauges(self, outside: Outside) -> None:
         def of(name: str, help_text: str, read: Callable[[], float]) -> None:
@@ -317,7 +317,7 @@
         of("ready", "Whether callers should come here.", lambda: float(self.ready()))
         of("config_version", "Configuration in force.", lambda: self.report_version())
         of("servers", "Backend servers known.", lambda: len(beliefs.book.server_by_life))
-        of("peers", "Other nodes heard.", lambda: len(self.view.reports(now_ms())))
+        of("peers", "Other nodes heard.", lambda: len(self.view.heartbeats(now_ms())))
         of(
             "callers_named",
             "Nodes last named to callers, of all data centres.",
@@ -357,11 +357,11 @@
         if self.duties.holds_all():
             self.duties.wake()
         else:
-            self.gossip.tell_soon(self.duties.other_holders())
+            self.gossip.schedule_work_delta(self.duties.other_holders())
 
-    def _card(self) -> NodeCard:
+    def _card(self) -> NodeRecord:
         settings = self.settings
-        return NodeCard(
+        return NodeRecord(
             settings.name,
             self.boot,
             settings.data_centre,
--- a/monsoonflow/entry/duties.py
+++ b/monsoonflow/entry/duties.py
@@ -11,7 +11,7 @@
 
 from ..core.adapter import AdapterRef
 from ..core.server_life import ServerLife
-from ..fleet.models import DutyClaim, HeldAdapters
+from ..fleet.models import CellLeaseClaim, ResidentAdapters
 from ..orders.models import Accepted, Gone, Order, RunnerControl, Superseded
 from ..placement.request_queue import NoSlot, Placed, QueuedRequest
 from ..placement.scheduler import AdapterScheduler
@@ -143,7 +143,7 @@
         row = duty.loop.let_go()
         if row is not None:
             duty.loop.release(*row)
-            self._daemon.gossip.send_now()
+            self._daemon.gossip.send_round()
 
     def holds_any(self) -> bool:
         """Tell whether some duty is still this node's."""
@@ -163,12 +163,12 @@
         own = self._daemon.settings.name
         return [claim.holder for claim in claims if claim is not None and claim.holder != own]
 
-    def claims(self) -> tuple[DutyClaim, ...]:
+    def claims(self) -> tuple[CellLeaseClaim, ...]:
         """Return the duties that this node holds, for the others."""
         claims = [duty.loop.claim() for duty in self._duty_by_cell.values()]
         return tuple(claim for claim in claims if claim is not None)
 
-    def told_residency(self) -> tuple[HeldAdapters, ...]:
+    def told_residency(self) -> tuple[ResidentAdapters, ...]:
         """Return what the runners of this node's duties hold, for the others."""
         return tuple(
             held
@@ -295,7 +295,7 @@
     def _won(self) -> None:
         """Begin at once, and tell the others where to ask: requests wait for a holder."""
         self.wake()
-        self._daemon.gossip.send_now()
+        self._daemon.gossip.send_round()
 
     def _plan_for_good(self) -> None:
         while True:
--- a/monsoonflow/entry/following.py
+++ b/monsoonflow/entry/following.py
@@ -16,8 +16,8 @@
 from ..core.server_life import ServerLife
 from ..core.tasks import Tasks
 from ..discovery.models import BackendServer
-from ..fleet.models import NodeCard, NodeReport, told_cores
-from ..fleet.rounds import EVERY_MS, MISSED
+from ..fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, SILENT_AFTER_MISSED
+from ..fleet.models import Heartbeat, NodeRecord, bounded_cores
 from ..fleet.view import FleetView
 from ..helpers.hashing import weight
 from ..helpers.strict import read
@@ -249,19 +249,19 @@
         for watch in self._followed.all():
             watch.answers_again()
 
-    def take_report(self, report: NodeReport) -> None:
+    def take_report(self, report: Heartbeat) -> None:
         """Take what another node says of the store: one that has lost it makes this one ask.
 
         Of a large fleet only some nodes ask often; the others would not notice a silence.
         """
-        lost = not report.store_heard
+        lost = not report.is_store_reachable
         news = lost and report.name not in self._without_store
         if lost:
             self._without_store.add(report.name)
         else:
             self._without_store.discard(report.name)
         now_ms = self._clock.now_ms()
-        alike = self._view.nodes() <= LONE_DOUBT_UP_TO or len(self._without_store) >= DOUBTERS
+        alike = self._view.node_count() <= LONE_DOUBT_UP_TO or len(self._without_store) >= DOUBTERS
         if news and alike and now_ms >= self._doubts_from_ms and self._followed is not None:
             self._doubts_from_ms = now_ms + PEERS_DOUBT_EVERY_MS
             self._followed.doubt()
@@ -278,12 +278,14 @@
         # A node is told by a dozen others in each round: unheard for three it relies on nobody,
         # though each of them may still be alive and have told others.
         self.watches = shared_ms == pause_ms
-        if self.watches or not self._view.heard_within(now_ms, MISSED * EVERY_MS):
+        if self.watches or not self._view.has_received_within(
+            now_ms, SILENT_AFTER_MISSED * HEARTBEAT_INTERVAL_MS
+        ):
             return pause_ms
         candidates = [
             report.name
-            for report in self._view.reports(now_ms)
-            if report.store_heard and not report.leaving
+            for report in self._view.heartbeats(now_ms)
+            if report.is_store_reachable and not report.is_leaving
         ]
         own = weight(WATCH, self._view.name)
         before = sum(weight(WATCH, name) > own for name in candidates)
@@ -295,7 +297,7 @@
 
         :param pause_ms: of a node in a small fleet.
         """
-        heard = len(self._view.reports(self._clock.now_ms()))
+        heard = len(self._view.heartbeats(self._clock.now_ms()))
         return int(pause_ms * max(1.0, (heard + 1) / WATCHERS))
 
     def teach(self) -> bytes:
@@ -396,13 +398,13 @@
         self._note("own", row)
         name = row.key.removeprefix(CARD_PREFIX)
         if row.body is None:
-            self._view.card_gone(name)
+            self._view.remove_record(name)
             return
         card = decode_card(row.body)
         if isinstance(card, str):
             log(_LOGGER, events.UnusableRow(row=row.key, cause=card))
             return
-        self._view.card(card)
+        self._view.add_record(card)
 
 
 class CardFields(Struct):
@@ -417,23 +419,23 @@
     cores: Any = None
 
 
-def decode_card(body: bytes) -> NodeCard | str:
+def decode_card(body: bytes) -> NodeRecord | str:
     """Return a node's card, or why it can't be used."""
     fields = read(body, CardFields)
     if isinstance(fields, str):
         return fields
-    return NodeCard(
+    return NodeRecord(
         fields.name,
         fields.boot,
         fields.data_centre,
         fields.callers,
         fields.peer,
         fields.report,
-        told_cores(fields.cores),
+        bounded_cores(fields.cores),
     )
 
 
-def encode_card(card: NodeCard) -> dict[str, str | float]:
+def encode_card(card: NodeRecord) -> dict[str, str | float]:
     """Return the value of a node's row."""
     return {
         "name": card.name,
--- a/monsoonflow/entry/lease_loop.py
+++ b/monsoonflow/entry/lease_loop.py
@@ -11,21 +11,21 @@
 from msgspec import Meta, Struct
 
 from ..core.clock import Clock
-from ..fleet.models import DutyClaim
+from ..fleet.models import CellLeaseClaim
 from ..fleet.view import FleetView
 from ..helpers.ids import new_id
 from ..helpers.strict import read
 from ..logs import events, log
-from ..ownership.duty import (
-    LONE_MS,
-    MAX_CLAIMANTS,
-    MAX_HEIRS,
+from ..ownership.cell_lease import (
+    MAX_CANDIDATES,
+    MAX_STANDBYS,
     PROMISE_MS,
-    DutyRow,
-    DutyWatch,
-    HeldDuty,
-    candidates,
+    UNNAMED_CLAIM_DELAY_MS,
+    CellLeaseRow,
+    CellLeaseWatch,
+    HeldCellLease,
     machine_class,
+    ranked_candidates,
 )
 from ..ownership.models import LeaseTiming
 from ..storage.models import ChangedRow, Committed, Conflict, Row, Table, Transaction, Unavailable
@@ -81,8 +81,8 @@
     ) -> None:
         timing = _timing(lease_ms, fenced)
         self.cell = cell
-        self.held = HeldDuty(timing, fenced)
-        self._watch = DutyWatch(timing, fenced, lease_ms)
+        self.held = HeldCellLease(timing, fenced)
+        self._watch = CellLeaseWatch(timing, fenced, lease_ms)
         self._fenced = fenced
         self._node = node
         self._boot = boot
@@ -112,8 +112,8 @@
         timing = _timing(lease_ms, fenced)
         self._fenced = fenced
         self._renew_every_ms = int(timing.duration_ms * RENEW_SHARE)
-        self.held.bounds_changed(timing, fenced)
-        self._watch.bounds_changed(timing, fenced, lease_ms)
+        self.held.update_settings(timing, fenced)
+        self._watch.update_settings(timing, fenced, lease_ms)
 
     def holds(self, now_ms: int) -> bool:
         """Tell whether this node may send orders at this moment."""
@@ -122,10 +122,10 @@
         newest = self._view.claim_of(self.cell)
         heard = [
             age
-            for report in self._view.reports(now_ms)
-            if (age := self._view.age_ms(report.name, now_ms)) is not None
+            for report in self._view.heartbeats(now_ms)
+            if (age := self._view.heartbeat_age_ms(report.name, now_ms)) is not None
         ]
-        alone = self._view.nodes() == 1
+        alone = self._view.node_count() == 1
         peers_heard_ms = None if alone else min(heard, default=1_000_000)
         overdue = now_ms - self._renewed_ms > 2 * self._renew_every_ms
         store_lost = self.store_lost or overdue or not self.store_reached
@@ -145,15 +145,15 @@
         """
         if self._fenced or self.held.row is None:
             return 0
-        until_ms = self._renewed_ms + self.held.lease_ms() + LONE_MS
+        until_ms = self._renewed_ms + self.held.duration_ms() + UNNAMED_CLAIM_DELAY_MS
         for name in self._claimants:
-            sent_ms = self._view.heard_claim_of_mine_ms(name, self._boot, self.cell)
+            sent_ms = self._view.acked_claim_sent_ms(name, self._boot, self.cell)
             if sent_ms is None or sent_ms < self._held_since_ms:
                 return 0
             until_ms = min(until_ms, sent_ms + PROMISE_MS)
         return until_ms - int(PROMISE_MS * MARGIN_SHARE)
 
-    def claim(self) -> DutyClaim | None:
+    def claim(self) -> CellLeaseClaim | None:
         """Return this node's claim, for the others.
 
         A holder that may not order must not seem to be one: the others would wait for it.
@@ -161,21 +161,23 @@
         row = self.held.row
         if row is None or (not self._fenced and not self.holds(self._clock.now_ms())):
             return None
-        return DutyClaim(self.cell, row.holder, row.epoch, row.heirs, row.counter)
+        return CellLeaseClaim(self.cell, row.holder, row.epoch, row.standbys, row.counter)
 
     def row_changed(self, row: ChangedRow | Row) -> None:
         """Take the duty's row as the store holds it."""
         now_ms = self._clock.now_ms()
         body = orjson.dumps(row.value) if isinstance(row, Row) else row.body
         duty = to_duty(self.cell, body)
-        heard = self._view.claim_heard(self.cell)
+        heard = self._view.received_claim(self.cell)
         told = duty is not None and heard is not None
         same = told and (heard.epoch, heard.counter) == (duty.epoch, duty.counter)
-        self._watch.seen(duty, row.version, now_ms, heard.first_ms if same else None)
+        self._watch.record_row(duty, row.version, now_ms, heard.first_received_ms if same else None)
         if duty is None:
             return
-        if not duty.released:
-            self._view.claimed(DutyClaim(self.cell, duty.holder, duty.epoch, duty.heirs))
+        if not duty.is_released:
+            self._view.apply_claim(
+                CellLeaseClaim(self.cell, duty.holder, duty.epoch, duty.standbys)
+            )
         held = self.held.row
         if held is not None and duty.epoch > held.epoch:
             self._lost(f"taken by {duty.holder}")
@@ -205,15 +207,15 @@
         if now_ms - self._wanted_since_ms >= self._own_rank(now_ms) * RANK_DELAY_MS:
             self._claim(now_ms)
 
-    def let_go(self) -> tuple[DutyRow, int] | None:
+    def let_go(self) -> tuple[CellLeaseRow, int] | None:
         """Give no more orders; return what is to be released in the store."""
         row, version = self.held.row, self.held.row_version
-        self.held.lost()
+        self.held.drop()
         return None if row is None else (row, version)
 
-    def release(self, row: DutyRow, version: int) -> None:
+    def release(self, row: CellLeaseRow, version: int) -> None:
         """Write that the duty is free, so that another node takes it at once."""
-        released = attrs.evolve(row, counter=row.counter + 1, released=True)
+        released = attrs.evolve(row, counter=row.counter + 1, is_released=True)
         result = self._commit(released, version)
         if isinstance(result, Conflict):
             # A renewal was on its way; left as it is, the row would keep all others waiting.
@@ -236,18 +238,18 @@
         if newest is None or not self._fenced:
             return
         # The newest claim may have been heard from its holder only: its row is read seconds later.
-        row = DutyRow(self.cell, newest.holder, "", newest.epoch, 0, newest.heirs)
-        inherited = row.inherited(self._node, self._boot)
+        row = CellLeaseRow(self.cell, newest.holder, "", newest.epoch, 0, newest.standbys)
+        inherited = row.taken_over_by(self._node, self._boot)
         if inherited is None or not self._silent(row.holder, now_ms):
             return
-        before = row.heirs[: row.heirs.index(self._node)]
+        before = row.standbys[: row.standbys.index(self._node)]
         if any(not self._silent(name, now_ms) for name in before):
             return
-        self.held.inherited(inherited, self._watch.row_version)
+        self.held.take_over(inherited, self._watch.row_version)
         self.store_lost = True
         self._inherited = True
         self._renewed_ms = now_ms
-        self._view.claimed(DutyClaim(self.cell, self._node, inherited.epoch))
+        self._view.apply_claim(CellLeaseClaim(self.cell, self._node, inherited.epoch))
         log(_LOGGER, events.DutyInherited(cell=self.cell, epoch=inherited.epoch, before=row.holder))
 
     def _should_look(self, now_ms: int) -> bool:
@@ -258,22 +260,24 @@
         row = self._watch.row
         if row is None or not self.store_reached or now_ms - self._looked_ms < LOOK_EVERY_MS:
             return False
-        may_claim_first = not self._fenced and self._node in row.heirs
+        may_claim_first = not self._fenced and self._node in row.standbys
         if not may_claim_first and not self._outdated():
             return False
-        heard = self._view.claim_heard(self.cell)
+        heard = self._view.received_claim(self.cell)
         if heard is None or self._gives_up(row.holder):
             return True
         newest = self._view.claim_of(self.cell)
         if newest is not None and self._gives_up(newest.holder):
             return True
-        silent_ms = self._view.holder_silence_ms(LOOK_AFTER_MS)
-        return now_ms - heard.last_ms > silent_ms or self._watch.lapsed(now_ms, heard.first_ms)
+        silent_ms = self._view.holder_silence_timeout_ms(LOOK_AFTER_MS)
+        return now_ms - heard.last_received_ms > silent_ms or self._watch.has_lapsed(
+            now_ms, heard.first_received_ms
+        )
 
     def _gives_up(self, name: str) -> bool:
         """Tell whether a node says that it stops and holds no duty."""
-        report = self._view.report_of(name)
-        return report is not None and report.leaving and not report.claims
+        report = self._view.heartbeat_of(name)
+        return report is not None and report.is_leaving and not report.claims
 
     def _outdated(self) -> bool:
         """Tell whether the holder has told a newer row than was read, and none was read since.
@@ -281,8 +285,8 @@
         The store would refuse a claim on the row that was read. One that was read since and is
         still older counts: an heir may hold the duty by a row that it could not write.
         """
-        row, heard = self._watch.row, self._view.claim_heard(self.cell)
-        if row is None or heard is None or self._read_ms > heard.first_ms:
+        row, heard = self._watch.row, self._view.received_claim(self.cell)
+        if row is None or heard is None or self._read_ms > heard.first_received_ms:
             return False
         return (heard.epoch, heard.counter) > (row.epoch, row.counter)
 
@@ -295,18 +299,18 @@
     def _silent(self, name: str, now_ms: int) -> bool:
         """Tell whether a node is unheard, or says that it stops and has let its duties go."""
         if not self._fenced:
-            heard = self._view.claim_heard(self.cell)
-            heard_ms = max(self._started_ms, heard.last_ms if heard is not None else 0)
+            heard = self._view.received_claim(self.cell)
+            heard_ms = max(self._started_ms, heard.last_received_ms if heard is not None else 0)
             return now_ms - heard_ms > PROMISE_MS
-        report = self._view.report_of(name)
+        report = self._view.heartbeat_of(name)
         if report is None:
             # Never heard: it may just not have spoken yet, since both have started together.
             return now_ms - self._started_ms > UNHEARD_MS
-        silence_ms = self._view.holder_silence_ms(HOLDER_SILENT_MS)
-        unheard = not self._view.alive(name, now_ms, silence_ms)
+        silence_ms = self._view.holder_silence_timeout_ms(HOLDER_SILENT_MS)
+        unheard = not self._view.is_alive(name, now_ms, silence_ms)
         if unheard and not self._newly_named(name, now_ms, silence_ms):
             return True
-        return report.leaving and all(claim.cell != self.cell for claim in report.claims)
+        return report.is_leaving and all(claim.cell != self.cell for claim in report.claims)
 
     def _newly_named(self, name: str, now_ms: int, silence_ms: int) -> bool:
         """Tell whether a holder became known so lately that its silence means nothing yet.
@@ -327,14 +331,14 @@
         """
         names = [
             report.name
-            for report in self._view.reports(now_ms)
-            if report.ready and not report.leaving and report.name not in named
+            for report in self._view.heartbeats(now_ms)
+            if report.is_ready and not report.is_leaving and report.name not in named
         ]
         if not self._fenced:
             # No epoch number hangs on their places: the list follows who is there.
-            others = [report.name for report in self._view.reports(now_ms) if report.ready]
-            return tuple(self._ranked(others))[:MAX_CLAIMANTS]
-        return (*named, *self._ranked(names))[:MAX_HEIRS]
+            others = [report.name for report in self._view.heartbeats(now_ms) if report.is_ready]
+            return tuple(self._ranked(others))[:MAX_CANDIDATES]
+        return (*named, *self._ranked(names))[:MAX_STANDBYS]
 
     def _claimable(self, now_ms: int) -> bool:
         if self.store_reached and self._outdated():
@@ -344,12 +348,12 @@
         holder = self._watch.row.holder if self._watch.row is not None else ""
         silent = holder != "" and self._silent(holder, now_ms)
         heard = silent and self._hears_most(holder, now_ms)
-        return self._watch.claimable(self._node, self._boot, now_ms, silent, heard)
+        return self._watch.may_claim(self._node, self._boot, now_ms, silent, heard)
 
     def _hears_most(self, holder: str, now_ms: int) -> bool:
         """Tell whether more than half of the nodes beside the holder are heard."""
-        others = [name for name in self._view.card_by_name if name not in (self._node, holder)]
-        heard = sum(self._view.alive(name, now_ms) for name in others)
+        others = [name for name in self._view.record_by_name if name not in (self._node, holder)]
+        heard = sum(self._view.is_alive(name, now_ms) for name in others)
         return heard * 2 > len(others) or not others
 
     def _own_rank(self, now_ms: int) -> int:
@@ -363,8 +367,8 @@
             return 0
         names = [
             report.name
-            for report in self._view.reports(now_ms)
-            if report.ready and not report.leaving and report.store_heard
+            for report in self._view.heartbeats(now_ms)
+            if report.is_ready and not report.is_leaving and report.is_store_reachable
         ]
         return self._ranked([*names, *self._faster_unheard(now_ms), self._node]).index(self._node)
 
@@ -377,12 +381,14 @@
         if now_ms - self._started_ms > UNHEARD_MS:
             return []
         own = machine_class(self._view.cores)
-        unheard = [name for name in self._view.card_by_name if self._view.report_of(name) is None]
+        unheard = [
+            name for name in self._view.record_by_name if self._view.heartbeat_of(name) is None
+        ]
         return [name for name in unheard if machine_class(self._view.cores_of(name)) > own]
 
     def _ranked(self, names: list[str]) -> list[str]:
         """Return nodes in the order in which they should hold the duty."""
-        return candidates(self.cell, {name: self._view.cores_of(name) for name in names})
+        return ranked_candidates(self.cell, {name: self._view.cores_of(name) for name in names})
 
     def _claim(self, now_ms: int) -> None:
         known = self._watch.row
@@ -390,20 +396,20 @@
         epoch = max(known.next_epoch() if known else 1, newest.epoch + 1 if newest else 0)
         before = known.holder if known is not None else ""
         if known is not None and before == self._node:
-            before = known.before
-        row = DutyRow(
-            self.cell, self._node, self._boot, epoch, 0, self._heirs(now_ms), before=before
+            before = known.previous_holder
+        row = CellLeaseRow(
+            self.cell, self._node, self._boot, epoch, 0, self._heirs(now_ms), previous_holder=before
         )
-        self._claimants = set(row.heirs)
+        self._claimants = set(row.standbys)
         result = self._commit(row, self._watch.row_version if known is not None else 0)
         self._wanted_since_ms = None
         if isinstance(result, Committed):
-            self.held.took(row, result.version, now_ms)
+            self.held.record_write(row, result.version, now_ms)
             self.store_lost = False
             self._inherited = False
             self._renewed_ms = now_ms
             self._held_since_ms = self._clock.now_ms()
-            self._view.claimed(DutyClaim(self.cell, self._node, epoch, row.heirs))
+            self._view.apply_claim(CellLeaseClaim(self.cell, self._node, epoch, row.standbys))
             log(
                 _LOGGER,
                 events.DutyWon(cell=self.cell, epoch=epoch, before=known.holder if known else None),
@@ -423,16 +429,16 @@
         row = attrs.evolve(
             self.held.row,
             counter=self.held.row.counter + 1,
-            heirs=self._heirs(now_ms, self.held.row.heirs),
+            standbys=self._heirs(now_ms, self.held.row.standbys),
         )
-        self._claimants |= set(row.heirs)
+        self._claimants |= set(row.standbys)
         result = self._commit(row, self.held.row_version)
         match result:
             case Committed(version=version):
-                self._claimants = set(row.heirs)
+                self._claimants = set(row.standbys)
                 # Lost meanwhile by what was heard: the renewal must not revive it.
                 if self.held.row is not None and self.held.row.epoch == row.epoch:
-                    self.held.took(row, version, now_ms)
+                    self.held.record_write(row, version, now_ms)
                     self._renewed_ms = now_ms
                     self.store_lost = False
             case Conflict():
@@ -450,7 +456,7 @@
 
     def _lost(self, cause: str) -> None:
         epoch = self.held.row.epoch if self.held.row is not None else 0
-        self.held.lost()
+        self.held.drop()
         self._inherited = False
         log(_LOGGER, events.DutyLost(cell=self.cell, epoch=epoch, cause=cause))
 
@@ -461,16 +467,16 @@
             self._read_ms = asked_ms
             self.row_changed(row)
 
-    def _commit(self, row: DutyRow, version: int) -> Committed | Conflict | Unavailable:
+    def _commit(self, row: CellLeaseRow, version: int) -> Committed | Conflict | Unavailable:
         key = DUTY_PREFIX + self.cell
         value = {
             "holder": row.holder,
             "boot": row.boot,
             "epoch": row.epoch,
             "counter": row.counter,
-            "heirs": list(row.heirs),
-            "released": row.released,
-            "before": row.before,
+            "heirs": list(row.standbys),
+            "released": row.is_released,
+            "before": row.previous_holder,
         }
         return self._table.commit(Transaction(new_id("op"), {key: version}, {key: value}))
 
@@ -499,12 +505,12 @@
     return LeaseTiming(lease_ms, int(lease_ms * MARGIN_SHARE))
 
 
-def to_duty(cell: str, body: bytes | None) -> DutyRow | None:
+def to_duty(cell: str, body: bytes | None) -> CellLeaseRow | None:
     """Return a duty's row, or ``None`` when it is malformed or gone."""
     fields = read(body, DutyFields) if body is not None else "gone"
     if isinstance(fields, str):
         return None
-    return DutyRow(
+    return CellLeaseRow(
         cell,
         fields.holder,
         fields.boot,
--- a/monsoonflow/entry/own_word.py
+++ b/monsoonflow/entry/own_word.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..core.server_life import ServerLife
-from ..fleet.models import HeldAdapters
+from ..fleet.models import ResidentAdapters
 from ..placement.scheduler import AdapterScheduler
 from ..placement.slots import RunnerSlots, SlotState
 
@@ -22,17 +22,17 @@
     """
 
     def __init__(self) -> None:
-        self._word_by_life: dict[ServerLife, HeldAdapters] = {}
-        self._taken_by_life: dict[ServerLife, HeldAdapters] = {}
+        self._word_by_life: dict[ServerLife, ResidentAdapters] = {}
+        self._taken_by_life: dict[ServerLife, ResidentAdapters] = {}
         self._all_ms: int | None = None
 
-    def of(self, desk: AdapterScheduler) -> tuple[HeldAdapters, ...]:
+    def of(self, desk: AdapterScheduler) -> tuple[ResidentAdapters, ...]:
         """Return what all known runners of a desk can serve now."""
         words = {r.life: self._word(r) for r in desk.runners.values() if r.is_known()}
         self._word_by_life = words
         return tuple(words.values())
 
-    def news(self, desk: AdapterScheduler, now_ms: int) -> tuple[HeldAdapters, ...]:
+    def news(self, desk: AdapterScheduler, now_ms: int) -> tuple[ResidentAdapters, ...]:
         """Return what has changed since this was last asked, and all of it at times."""
         words = self.of(desk)
         taken, self._taken_by_life = self._taken_by_life, self._word_by_life
@@ -41,10 +41,10 @@
             return words
         return tuple(word for word in words if taken.get(word.life) is not word)
 
-    def _word(self, runner: RunnerSlots) -> HeldAdapters:
+    def _word(self, runner: RunnerSlots) -> ResidentAdapters:
         ready = SlotState.READY
         refs = tuple([seat.ref for seat in runner.slots.values() if seat.state is ready])
         known = self._word_by_life.get(runner.life)
         if known is not None and known.adapters == refs:
             return known
-        return HeldAdapters(runner.life, refs)
+        return ResidentAdapters(runner.life, refs)
--- a/monsoonflow/entry/peers.py
+++ b/monsoonflow/entry/peers.py
@@ -50,11 +50,11 @@
         # Who was heard last first: a node that has just fallen silent still counts as heard, and an
         # answer is waited for in vain for a second.
         reports = sorted(
-            self._view.reports(now_ms),
-            key=lambda report: self._view.age_ms(report.name, now_ms) or 0,
+            self._view.heartbeats(now_ms),
+            key=lambda report: self._view.heartbeat_age_ms(report.name, now_ms) or 0,
         )
         for report in reports:
-            card = self._view.card_by_name.get(report.name)
+            card = self._view.record_by_name.get(report.name)
             if report.config_version <= own or card is None:
                 continue
             answer = self.call(card.peer_address, CONFIGURATION_PATH, b"", FETCH_TIMEOUT_MS)
@@ -72,7 +72,7 @@
 
         :param seeds: addresses to try, in turn; some may be out of date.
         """
-        known = [card.peer_address for card in self._view.card_by_name.values()]
+        known = [card.peer_address for card in self._view.record_by_name.values()]
         for address in dict.fromkeys([*seeds, *known]):
             if address == own_address:
                 continue
--- a/monsoonflow/entry/placing.py
+++ b/monsoonflow/entry/placing.py
@@ -85,7 +85,7 @@
             if claim is None or claim.holder == daemon.settings.name:
                 continue
             told_ms = daemon.view.residency_age_ms(claim.holder, now_ms)
-            heard_ms = daemon.view.age_ms(claim.holder, now_ms)
+            heard_ms = daemon.view.heartbeat_age_ms(claim.holder, now_ms)
             if told_ms is not None and told_ms > max(STALE_MS, heard_ms + HOLDER_FRESH_MS):
                 del held[life]
         return held
@@ -259,14 +259,14 @@
         if duty is not None and duty.desk is not None:
             return daemon.duties.ask_desk(duty, question)
         claim = daemon.view.claim_of(service.name)
-        card = daemon.view.card_by_name.get(claim.holder) if claim is not None else None
-        if card is None or not daemon.view.alive(claim.holder, daemon.clock.now_ms()):
+        card = daemon.view.record_by_name.get(claim.holder) if claim is not None else None
+        if card is None or not daemon.view.is_alive(claim.holder, daemon.clock.now_ms()):
             return None
         body = orjson.dumps(question)
         answer = daemon.peers.call(card.peer_address, PLACE_PATH, body, min(left_ms, ASK_AGAIN_MS))
         if isinstance(answer, Lost):
             if not answer.sent:
-                daemon.view.refused(claim.holder)
+                daemon.view.mark_refused(claim.holder)
             return None
         try:
             data = orjson.loads(answer.body)
--- a/monsoonflow/entry/residency.py
+++ b/monsoonflow/entry/residency.py
@@ -8,7 +8,7 @@
 from ..core.adapter import AdapterRef
 from ..core.clock import Clock
 from ..core.server_life import ServerLife
-from ..fleet.models import HeldAdapters
+from ..fleet.models import ResidentAdapters
 
 MISSING_MS: Final = 400
 """How long a runner's own word that it lacks an adapter goes before the holder's older report."""
@@ -26,9 +26,9 @@
         self._refs_by_server: dict[str, dict[str, int]] = {}
         self._missing_until: dict[tuple[str, str], int] = {}
         self._history_by_server: dict[str, OrderedDict[AdapterRef, None]] = {}
-        self._told_by_cell: dict[str, tuple[HeldAdapters, ...]] = {}
+        self._told_by_cell: dict[str, tuple[ResidentAdapters, ...]] = {}
 
-    def take_told(self, cell: str, told: tuple[HeldAdapters, ...]) -> None:
+    def take_told(self, cell: str, told: tuple[ResidentAdapters, ...]) -> None:
         """Take the word of the holder of a cell, once.
 
         It is looked for ten times a second and told once a second in a large fleet: taken each
@@ -39,13 +39,13 @@
             self._told_by_cell[cell] = told
             self.take(told)
 
-    def take(self, told: tuple[HeldAdapters, ...]) -> None:
+    def take(self, told: tuple[ResidentAdapters, ...]) -> None:
         """Take a holder's word about its runners; it replaces what was known of them."""
         for held in told:
             self._note(held)
             self._refs_by_server[held.life] = {ref.name: ref.version for ref in held.adapters}
 
-    def _note(self, held: HeldAdapters) -> None:
+    def _note(self, held: ResidentAdapters) -> None:
         history = self._history_by_server.setdefault(held.life, OrderedDict())
         for ref in held.adapters:
             history[ref] = None
--- a/monsoonflow/entry/settings.py
+++ b/monsoonflow/entry/settings.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from ..fleet.models import USUAL_CORES
+from ..fleet.models import DEFAULT_CORES
 
 
 def _address(_instance: object, field: attrs.Attribute, value: str) -> None:
@@ -74,7 +74,7 @@
     store_address: str = attrs.field(validator=_address)
     bounds: PeerBounds = PeerBounds()
     seeds: tuple[str, ...] = ()
-    cores: float = USUAL_CORES
+    cores: float = DEFAULT_CORES
     first_start: bool = True
 
     def listens_at(self) -> tuple[str, ...]:
--- a/monsoonflow/entry/stopping.py
+++ b/monsoonflow/entry/stopping.py
@@ -29,7 +29,7 @@
     daemon.duties.give_up(end_ms - CHECK_EVERY_MS)
     # Told in turns, who answers callers would go on naming this node for seconds: of 195 nodes the
     # last hears after 3.4 s, and new connections are taken for 2.5 s.
-    daemon.gossip.send_to_all()
+    daemon.gossip.schedule_broadcast()
     daemon.ports.callers.stop_keeping()
     outlast_ms = min(end_ms, started_ms + OUTLAST_ADDRESSES_MS)
     while daemon.clock.now_ms() < outlast_ms:
--- a/monsoonflow/fleet/codec.py
+++ b/monsoonflow/fleet/codec.py
@@ -16,217 +16,249 @@
 from ..routing.in_flight import ServerWork
 from ..routing.overload import OverloadedRunners
 from .models import (
-    DutyClaim,
-    Heard,
-    HeldAdapters,
-    LifeSign,
-    NamedVersion,
-    NodeCard,
-    NodeReport,
-    RetryMemory,
-    WorkChange,
-    told_cores,
+    CellLeaseClaim,
+    Heartbeat,
+    HeartbeatAck,
+    NodeRecord,
+    RecentVersion,
+    ResidentAdapters,
+    RetryHistory,
+    ShortHeartbeat,
+    WorkDelta,
+    bounded_cores,
 )
 
 ZLIB_LEVEL: Final = 1
 """Names repeat within a report: a third of the bytes for some 20 us."""
 
-MAX_REPORT_BYTES: Final = 1 << 20
+MAX_HEARTBEAT_BYTES: Final = 1 << 20
 """A datagram that would unpack to more is no report."""
 
-FORMAT: Final = 4
+HEARTBEAT_FORMAT: Final = 4
 """First field of each report; a node of another version is not understood and is left alone."""
 
-SIGN_FORMAT: Final = "s1"
+SHORT_HEARTBEAT_FORMAT: Final = "s1"
 """First field of each sign of life; a node of an older version leaves it alone."""
 
-CHANGE_FORMAT: Final = "w1"
+WORK_DELTA_FORMAT: Final = "w1"
 """First field of each change of work."""
 
-ASK: Final = b"?"
+HEARTBEAT_REQUEST: Final = b"?"
 """Asks a node whose sign of life was heard for its whole report."""
 
 
-def encode(report: NodeReport) -> bytes:
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Return a report's bytes."""
-    return zlib.compress(_encoded(report), ZLIB_LEVEL)
+    return zlib.compress(_heartbeat_json(heartbeat), ZLIB_LEVEL)
 
 
-def _encoded(report: NodeReport) -> bytes:
-    flags = report.ready | report.leaving << 1 | report.store_heard << 2
+def _heartbeat_json(heartbeat: Heartbeat) -> bytes:
+    flags = heartbeat.is_ready | heartbeat.is_leaving << 1 | heartbeat.is_store_reachable << 2
     return orjson.dumps(
         [
-            FORMAT,
-            _addresses(report.card),
-            report.sequence,
+            HEARTBEAT_FORMAT,
+            _record_fields(heartbeat.record),
+            heartbeat.sequence,
             flags,
-            report.config_version,
-            {str(life): _work_fields(work) for life, work in report.work_by_server.items()},
-            _spent_fields(report.spent_by_service),
-            report.left_servers,
-            [str(named.ref) for named in report.versions],
-            _claim_fields(report.claims),
+            heartbeat.config_version,
+            {str(life): _work_fields(work) for life, work in heartbeat.work_by_server.items()},
+            _spent_fields(heartbeat.retry_usage_by_service),
+            heartbeat.departed_servers,
+            [str(named.ref) for named in heartbeat.versions],
+            _claim_fields(heartbeat.claims),
             (
                 None
-                if report.residency is None
-                else [[held.life, [str(ref) for ref in held.adapters]] for held in report.residency]
+                if heartbeat.residency is None
+                else [
+                    [held.life, [str(ref) for ref in held.adapters]] for held in heartbeat.residency
+                ]
             ),
-            [attrs.astuple(heard) for heard in report.heard],
-            report.came_servers,
-            report.card.cores,
-            [named.age_ms for named in report.versions],
-            _crowded_fields(report.crowded),
-            report.lag_ms,
-            report.active,
-            _memory_fields(report.retries),
-            [[ending.fingerprint, ending.life] for ending in report.endings],
-            report.quarantined,
+            [attrs.astuple(heard) for heard in heartbeat.acks],
+            heartbeat.added_servers,
+            heartbeat.record.cores,
+            [named.age_ms for named in heartbeat.versions],
+            _overloaded_runners_fields(heartbeat.overloaded_runners),
+            heartbeat.lag_ms,
+            heartbeat.is_active,
+            _retry_history_fields(heartbeat.retry_history),
+            [[ending.fingerprint, ending.life] for ending in heartbeat.crashes],
+            heartbeat.quarantined_fingerprints,
         ]
     )
 
 
-def encode_sign(sign: LifeSign) -> bytes:
+def encode_short_heartbeat(heartbeat: ShortHeartbeat) -> bytes:
     """Return a sign of life's bytes; it is too short for packing to gain anything."""
-    flags = sign.ready | sign.leaving << 1 | sign.store_heard << 2 | sign.active << 3
-    card = None if sign.card is None else [*_addresses(sign.card), sign.card.cores]
-    heard = [attrs.astuple(heard) for heard in sign.heard]
-    claims = _claim_fields(sign.claims)
-    spent = _spent_fields(sign.spent_by_service)
-    named = [SIGN_FORMAT, sign.name, sign.boot, sign.sequence, flags]
+    flags = (
+        heartbeat.is_ready
+        | heartbeat.is_leaving << 1
+        | heartbeat.is_store_reachable << 2
+        | heartbeat.is_active << 3
+    )
+    card = (
+        None
+        if heartbeat.record is None
+        else [*_record_fields(heartbeat.record), heartbeat.record.cores]
+    )
+    heard = [attrs.astuple(heard) for heard in heartbeat.acks]
+    claims = _claim_fields(heartbeat.claims)
+    spent = _spent_fields(heartbeat.retry_usage_by_service)
+    named = [SHORT_HEARTBEAT_FORMAT, heartbeat.name, heartbeat.boot, heartbeat.sequence, flags]
     return orjson.dumps(
-        [*named, sign.config_version, sign.lag_ms, claims, heard, card, spent, sign.quarantined]
+        [
+            *named,
+            heartbeat.config_version,
+            heartbeat.lag_ms,
+            claims,
+            heard,
+            card,
+            spent,
+            heartbeat.quarantined_fingerprints,
+        ]
     )
 
 
-def encode_change(change: WorkChange) -> bytes:
+def encode_work_delta(delta: WorkDelta) -> bytes:
     """Return the bytes of a change of work."""
-    work = {str(life): _work_fields(work) for life, work in change.work_by_server.items()}
-    return orjson.dumps([CHANGE_FORMAT, change.name, change.boot, change.sequence, work])
+    work = {str(life): _work_fields(work) for life, work in delta.work_by_server.items()}
+    return orjson.dumps([WORK_DELTA_FORMAT, delta.name, delta.boot, delta.sequence, work])
 
 
-def decode(data: bytes) -> NodeReport | LifeSign | WorkChange | None:
+def decode(data: bytes) -> Heartbeat | ShortHeartbeat | WorkDelta | None:
     """Return what another node tells, or ``None`` for bytes that can't be read."""
     if data[:1] != b"[":
-        return _decode_report(data)
+        return _decode_heartbeat(data)
     try:
         fields = orjson.loads(data)
-        read = {SIGN_FORMAT: _sign, CHANGE_FORMAT: _change}.get(fields[0])
+        read = {
+            SHORT_HEARTBEAT_FORMAT: _short_heartbeat_from_fields,
+            WORK_DELTA_FORMAT: _work_delta_from_fields,
+        }.get(fields[0])
         return None if read is None else read(fields)
     except (ValueError, TypeError, KeyError, IndexError, AttributeError):
         return None
 
 
-def _change(fields: list[Any]) -> WorkChange:
-    work = {ServerLife(life): _work(work) for life, work in fields[4].items()}
-    return WorkChange(str(fields[1]), str(fields[2]), int(fields[3]), work)
+def _work_delta_from_fields(fields: list[Any]) -> WorkDelta:
+    work = {ServerLife(life): _work_from_fields(work) for life, work in fields[4].items()}
+    return WorkDelta(str(fields[1]), str(fields[2]), int(fields[3]), work)
 
 
-def _sign(fields: list[Any]) -> LifeSign:
+def _short_heartbeat_from_fields(fields: list[Any]) -> ShortHeartbeat:
     flags = int(fields[4])
-    return LifeSign(
+    return ShortHeartbeat(
         name=str(fields[1]),
         boot=str(fields[2]),
         sequence=int(fields[3]),
-        ready=bool(flags & 1),
-        leaving=bool(flags & 2),
-        store_heard=bool(flags & 4),
-        active=bool(flags & 8),
+        is_ready=bool(flags & 1),
+        is_leaving=bool(flags & 2),
+        is_store_reachable=bool(flags & 4),
+        is_active=bool(flags & 8),
         config_version=int(fields[5]),
         lag_ms=max(0, int(fields[6])),
-        claims=tuple(_claim(entry) for entry in fields[7]),
-        heard=_heard(fields[8]),
-        card=None if fields[9] is None else _sign_card(fields[9]),
-        spent_by_service=_spent(fields[10]),
-        quarantined=tuple(map(str, _after(fields, 11) or ())),
+        claims=tuple(_claim_from_fields(entry) for entry in fields[7]),
+        acks=_acks_from_fields(fields[8]),
+        record=None if fields[9] is None else _record_from_fields(fields[9]),
+        retry_usage_by_service=_spent_from_fields(fields[10]),
+        quarantined_fingerprints=tuple(map(str, _optional_field(fields, 11) or ())),
     )
 
 
-def _sign_card(fields: list[Any]) -> NodeCard:
+def _record_from_fields(fields: list[Any]) -> NodeRecord:
     *addresses, cores = fields
-    return NodeCard(*map(str, addresses), cores=told_cores(cores))
+    return NodeRecord(*map(str, addresses), cores=bounded_cores(cores))
 
 
-def _decode_report(data: bytes) -> NodeReport | None:
+def _decode_heartbeat(data: bytes) -> Heartbeat | None:
     try:
         unpacker = zlib.decompressobj()
-        fields = orjson.loads(unpacker.decompress(data, MAX_REPORT_BYTES))
+        fields = orjson.loads(unpacker.decompress(data, MAX_HEARTBEAT_BYTES))
         # Cut within its checksum it could hold anything.
         if not unpacker.eof:
             return None
-        return _decode(fields) if fields[0] == FORMAT else None
+        return _heartbeat_from_fields(fields) if fields[0] == HEARTBEAT_FORMAT else None
     except (zlib.error, ValueError, TypeError, KeyError, IndexError, AttributeError):
         return None
 
 
-def _decode(fields: list[Any]) -> NodeReport:
+def _heartbeat_from_fields(fields: list[Any]) -> Heartbeat:
     flags = int(fields[3])
-    return NodeReport(
-        card=NodeCard(*map(str, fields[1]), cores=told_cores(_after(fields, 13))),
+    return Heartbeat(
+        record=NodeRecord(*map(str, fields[1]), cores=bounded_cores(_optional_field(fields, 13))),
         sequence=int(fields[2]),
-        ready=bool(flags & 1),
-        leaving=bool(flags & 2),
-        store_heard=bool(flags & 4),
+        is_ready=bool(flags & 1),
+        is_leaving=bool(flags & 2),
+        is_store_reachable=bool(flags & 4),
         config_version=int(fields[4]),
-        work_by_server={ServerLife(life): _work(work) for life, work in fields[5].items()},
-        spent_by_service=_spent(fields[6]),
-        left_servers=tuple(map(ServerLife, fields[7])),
-        versions=_versions(fields[8], _after(fields, 14)),
-        claims=tuple(_claim(entry) for entry in fields[9]),
-        residency=None if fields[10] is None else tuple(map(_held, fields[10])),
-        heard=_heard(fields[11]),
-        came_servers=tuple(map(ServerLife, fields[12])),
-        crowded=_crowded(_after(fields, 15)),
-        lag_ms=max(0, int(_after(fields, 16) or 0)),
+        work_by_server={
+            ServerLife(life): _work_from_fields(work) for life, work in fields[5].items()
+        },
+        retry_usage_by_service=_spent_from_fields(fields[6]),
+        departed_servers=tuple(map(ServerLife, fields[7])),
+        versions=_versions_from_fields(fields[8], _optional_field(fields, 14)),
+        claims=tuple(_claim_from_fields(entry) for entry in fields[9]),
+        residency=(
+            None if fields[10] is None else tuple(map(_resident_adapters_from_fields, fields[10]))
+        ),
+        acks=_acks_from_fields(fields[11]),
+        added_servers=tuple(map(ServerLife, fields[12])),
+        overloaded_runners=_overloaded_runners_from_fields(_optional_field(fields, 15)),
+        lag_ms=max(0, int(_optional_field(fields, 16) or 0)),
         # A node of an older version does not tell, and is told all as one that has requests.
-        active=_after(fields, 17) is not False,
-        retries=_memory(_after(fields, 18)),
-        endings=tuple(
-            [Ending(str(name), ServerLife(life)) for name, life in _after(fields, 19) or ()]
+        is_active=_optional_field(fields, 17) is not False,
+        retry_history=_retry_history_from_fields(_optional_field(fields, 18)),
+        crashes=tuple(
+            [
+                Ending(str(name), ServerLife(life))
+                for name, life in _optional_field(fields, 19) or ()
+            ]
         ),
-        quarantined=tuple(map(str, _after(fields, 20) or ())),
+        quarantined_fingerprints=tuple(map(str, _optional_field(fields, 20) or ())),
     )
 
 
-def _spent_fields(spent_by_service: dict[str, RetryUsage]) -> dict[str, list[int]]:
+def _spent_fields(retry_usage_by_service: dict[str, RetryUsage]) -> dict[str, list[int]]:
     return {
         service: [spent.first_attempts, spent.retries]
-        for service, spent in spent_by_service.items()
+        for service, spent in retry_usage_by_service.items()
     }
 
 
-def _spent(fields: dict[str, Any]) -> dict[str, RetryUsage]:
+def _spent_from_fields(fields: dict[str, Any]) -> dict[str, RetryUsage]:
     return {service: RetryUsage(*spent) for service, spent in fields.items()}
 
 
-def _memory_fields(memory: RetryMemory) -> list[Any]:
-    hears = sorted(memory.hears)
-    return [memory.counts_ms, hears, memory.past_by_service, memory.ended]
+def _retry_history_fields(history: RetryHistory) -> list[Any]:
+    hears = sorted(history.fresh_peers)
+    return [history.counted_ms, hears, history.past_retries_by_service, history.ended_processes]
 
 
-def _memory(fields: list[Any] | None) -> RetryMemory:
+def _retry_history_from_fields(fields: list[Any] | None) -> RetryHistory:
     """Return what a node remembers; one of an older version remembers nothing for others."""
     if fields is None:
-        return RetryMemory()
+        return RetryHistory()
     counts_ms, hears, past_by_service, ended = fields
     past = {str(service): max(0, int(count)) for service, count in past_by_service.items()}
-    return RetryMemory(int(counts_ms), frozenset(map(str, hears)), past, max(0, int(ended)))
+    return RetryHistory(int(counts_ms), frozenset(map(str, hears)), past, max(0, int(ended)))
 
 
-def _claim_fields(claims: tuple[DutyClaim, ...]) -> list[Any]:
-    return [[c.cell, c.holder, c.epoch, c.heirs, c.counter] for c in claims]
+def _claim_fields(claims: tuple[CellLeaseClaim, ...]) -> list[Any]:
+    return [[c.cell, c.holder, c.epoch, c.standbys, c.counter] for c in claims]
 
 
-def _heard(entries: list[Any]) -> tuple[Heard, ...]:
-    return tuple(Heard(str(name), str(boot), int(sequence)) for name, boot, sequence in entries)
+def _acks_from_fields(entries: list[Any]) -> tuple[HeartbeatAck, ...]:
+    return tuple(
+        HeartbeatAck(str(name), str(boot), int(sequence)) for name, boot, sequence in entries
+    )
 
 
-def _crowded_fields(crowded: OverloadedRunners | None) -> dict[str, Any] | None:
-    if crowded is None:
+def _overloaded_runners_fields(runners: OverloadedRunners | None) -> dict[str, Any] | None:
+    if runners is None:
         return None
-    return {str(life): list(ranks.items()) for life, ranks in crowded.items()}
+    return {str(life): list(ranks.items()) for life, ranks in runners.items()}
 
 
-def _crowded(fields: dict[str, Any] | None) -> OverloadedRunners | None:
+def _overloaded_runners_from_fields(fields: dict[str, Any] | None) -> OverloadedRunners | None:
     if fields is None:
         return None
     return {
@@ -246,7 +278,7 @@
     return [*fields, ranks] if ranks else fields
 
 
-def _work(fields: list[Any]) -> ServerWork:
+def _work_from_fields(fields: list[Any]) -> ServerWork:
     """Return work whose counts are whole: a running total is made of them."""
     ranks = fields[4] if len(fields) > 4 else ()
     return ServerWork(
@@ -258,47 +290,49 @@
     )
 
 
-def _addresses(card: NodeCard) -> tuple[str, ...]:
+def _record_fields(record: NodeRecord) -> tuple[str, ...]:
     """Return a card without what was added to it later.
 
     That stands at the end of a report, where a node of an older version does not look: it would
     take a card with one field more for no report.
     """
     return (
-        card.name,
-        card.boot,
-        card.data_centre,
-        card.callers_address,
-        card.peer_address,
-        card.report_address,
+        record.name,
+        record.boot,
+        record.data_centre,
+        record.callers_address,
+        record.peer_address,
+        record.report_address,
     )
 
 
-def _after(fields: list[Any], place: int) -> Any:
+def _optional_field(fields: list[Any], index: int) -> Any:
     """Return a field that a node of an older version does not tell, or ``None``."""
-    return fields[place] if len(fields) > place else None
+    return fields[index] if len(fields) > index else None
 
 
-def _versions(refs: list[Any], ages_ms: list[Any] | None) -> tuple[NamedVersion, ...]:
+def _versions_from_fields(refs: list[Any], ages_ms: list[Any] | None) -> tuple[RecentVersion, ...]:
     """Return versions; a node of an older version tells no ages, and means just now."""
     ages = ages_ms if ages_ms is not None else [0] * len(refs)
     return tuple(
-        NamedVersion(ref_of(text), max(0, int(age_ms)))
+        RecentVersion(parse_adapter_ref(text), max(0, int(age_ms)))
         for text, age_ms in zip(refs, ages, strict=True)
     )
 
 
-def _held(entry: list[Any]) -> HeldAdapters:
-    return HeldAdapters(ServerLife(entry[0]), tuple(ref_of(text) for text in entry[1]))
+def _resident_adapters_from_fields(fields: list[Any]) -> ResidentAdapters:
+    return ResidentAdapters(
+        ServerLife(fields[0]), tuple(parse_adapter_ref(text) for text in fields[1])
+    )
 
 
-def _claim(entry: list[Any]) -> DutyClaim:
-    return DutyClaim(
-        str(entry[0]), str(entry[1]), int(entry[2]), tuple(map(str, entry[3])), int(entry[4])
+def _claim_from_fields(fields: list[Any]) -> CellLeaseClaim:
+    return CellLeaseClaim(
+        str(fields[0]), str(fields[1]), int(fields[2]), tuple(map(str, fields[3])), int(fields[4])
     )
 
 
-def ref_of(text: str) -> AdapterRef:
+def parse_adapter_ref(text: str) -> AdapterRef:
     """Return the reference that ``MODEL/NAME@VERSION`` names.
 
     :raises ValueError: when malformed.
--- a/monsoonflow/fleet/ended.py
+++ b/monsoonflow/fleet/ended_processes.py
@@ -4,13 +4,13 @@
 
 import attrs
 
-from .models import NodeReport
+from .models import Heartbeat
 
 
 @attrs.frozen(slots=True)
-class _Ended:
-    at_ms: int
-    report: NodeReport
+class _EndedProcess:
+    ended_ms: int
+    last_heartbeat: Heartbeat
 
 
 @attrs.define(slots=True)
@@ -21,13 +21,15 @@
     zero, and taken for all that the node has spent, that would free the whole budget once more.
     """
 
-    _ended: list[_Ended] = attrs.Factory(list)
+    _processes: list[_EndedProcess] = attrs.Factory(list)
 
-    def add(self, report: NodeReport, now_ms: int) -> None:
+    def add(self, last_heartbeat: Heartbeat, now_ms: int) -> None:
         """Take the last report of a process that was followed by another one."""
-        self._ended.append(_Ended(now_ms, report))
+        self._processes.append(_EndedProcess(now_ms, last_heartbeat))
 
-    def within(self, window_ms: int, now_ms: int) -> list[NodeReport]:
+    def last_heartbeats(self, window_ms: int, now_ms: int) -> list[Heartbeat]:
         """Return the reports of those that ended within a window."""
-        self._ended = [ended for ended in self._ended if ended.at_ms > now_ms - window_ms]
-        return [ended.report for ended in self._ended]
+        self._processes = [
+            ended for ended in self._processes if ended.ended_ms > now_ms - window_ms
+        ]
+        return [ended.last_heartbeat for ended in self._processes]
--- a/monsoonflow/fleet/gossip.py
+++ b/monsoonflow/fleet/gossip.py
@@ -19,30 +19,30 @@
 from ..logs import events, log
 from ..transport.sockets import split_address
 from . import codec
-from .models import LifeSign, NodeReport, WorkChange
-from .rounds import EVERY_MS, PEERS_A_ROUND, Rounds
+from .heartbeat_rounds import HEARTBEAT_INTERVAL_MS, PEERS_PER_ROUND, HeartbeatRounds
+from .models import Heartbeat, ShortHeartbeat, WorkDelta
 from .view import FleetView
 
 _LOGGER = logging.getLogger(__name__)
-SOON_MS: Final = 15
+BATCH_DELAY_MS: Final = 15
 """How long news for a holder waits for more of it."""
 
-RESIDENCY_ROUNDS: Final = 5
+ROUNDS_PER_RESIDENCY: Final = 5
 """In a large fleet a holder tells what its runners hold in each of so many rounds only, once a
 second: for 45 runners that is most of its report. Who does not know asks the holder."""
 
-EAGER_MS: Final = 6_000
+STARTUP_FULL_RATE_MS: Final = 6_000
 """So long after its start a node without callers speaks as often as one with callers: nobody knows
 yet who there is, and duties are claimed by who is heard."""
 
-YOUNG_MS: Final = 60_000
+STARTUP_RECORD_MS: Final = 60_000
 """So long after its start a node's signs of life tell how it is reached: nobody knows it yet."""
 
-ASK_EVERY_MS: Final = 1_000
+REQUEST_INTERVAL_MS: Final = 1_000
 """How often a node that is known by signs of life only is asked for its report, and how often one
 that asks is answered."""
 
-MOST_ASKED: Final = 64
+MAX_RATE_LIMITED_ADDRESSES: Final = 64
 """Addresses that are asked, or answered, in that time."""
 
 MAX_DATAGRAM_BYTES: Final = 60_000
@@ -60,96 +60,98 @@
         self,
         address: str,
         view: FleetView,
-        report: Callable[[], NodeReport],
-        on_report: Callable[[NodeReport], None],
+        heartbeat: Callable[[], Heartbeat],
+        on_heartbeat: Callable[[Heartbeat], None],
         tasks: Tasks,
         clock: Clock,
-        change: Callable[[], WorkChange],
+        work_delta: Callable[[], WorkDelta],
     ) -> None:
-        self._change = change
+        self._work_delta = work_delta
         self._view = view
-        self._report = report
-        self._on_report = on_report
+        self._heartbeat = heartbeat
+        self._on_heartbeat = on_heartbeat
         self._tasks = tasks
         self._clock = clock
         self._address = address
-        self._rounds = Rounds(view.name)
-        self._rounds_until_residency = 0
+        self._rounds = HeartbeatRounds(view.name)
+        self._rounds_since_residency = 0
         self._socket = socket.socket(native.AF_INET, native.SOCK_DGRAM)
-        self._soon: set[str] = set()
-        self._telling = False
-        self._telling_all = False
+        self._pending_delta_names: set[str] = set()
+        self._is_delta_scheduled = False
+        self._is_broadcast_scheduled = False
         self.sent_bytes = 0
         self._closed = False
-        self._unreadable_from: set[str] = set()
+        self._unreadable_senders: set[str] = set()
         self._started_ms = clock.now_ms()
-        self._asked_ms_by_address: dict[str, int] = {}
+        self._requested_ms_by_address: dict[str, int] = {}
         self._answered_ms_by_address: dict[str, int] = {}
 
     def start(self) -> None:
         """Begin to send and to receive."""
         self._socket.bind(split_address(self._address))
-        self._tasks.spawn(self._receive)
-        self._tasks.spawn(self._send_for_good)
+        self._tasks.spawn(self._receive_loop)
+        self._tasks.spawn(self._send_loop)
 
     def close(self) -> None:
         """Send and receive no more."""
         self._closed = True
         self._socket.close()
 
-    def send_now(self) -> None:
+    def send_round(self) -> None:
         """Tell the others at once, as many as in any round."""
-        report = self._report()
-        others = self._others()
+        report = self._heartbeat()
+        others = self._peer_addresses()
         view = self._view
-        eager = self._clock.now_ms() - self._started_ms < EAGER_MS
-        told = self._rounds.next(
+        eager = self._clock.now_ms() - self._started_ms < STARTUP_FULL_RATE_MS
+        told = self._rounds.next_peers(
             others,
-            view.duty_names(),
-            view.holds_duty(),
-            self._choosing(others) if report.active else (),
-            not report.active and not eager,
+            view.holder_and_standby_names(),
+            view.holds_cell_lease(),
+            self._active_peer_names(others) if report.is_active else (),
+            not report.is_active and not eager,
         )
         # Servers that come and leave must be known to everybody: a node without callers that had
         # missed one answered its first with "no server takes work".
-        news = report.left_servers or report.came_servers
-        whole = told if news else view.need_whole(told)
-        self._send(report, [others[name] for name in whole])
+        news = report.departed_servers or report.added_servers
+        whole = told if news else view.full_heartbeat_recipients(told)
+        self._send_heartbeat(report, [others[name] for name in whole])
         signs = set(told).difference(whole)
         if signs:
-            self._send_sign(report, [others[name] for name in told if name in signs])
+            self._send_short_heartbeat(report, [others[name] for name in told if name in signs])
 
-    def send_to_all(self) -> None:
+    def schedule_broadcast(self) -> None:
         """Tell all others within a moment what none of them may learn too late.
 
         What comes meanwhile goes with it: 22 servers that crash are read in one answer, and a
         report to 88 nodes for each would take a slow link of 10 Mbit/s for two seconds.
         """
-        if not self._telling_all:
-            self._telling_all = True
-            self._tasks.spawn(self._tell_all)
+        if not self._is_broadcast_scheduled:
+            self._is_broadcast_scheduled = True
+            self._tasks.spawn(self._broadcast)
 
-    def _tell_all(self) -> None:
-        self._tasks.sleep(SOON_MS)
-        self._telling_all = False
-        self._send(self._report(), list(self._others().values()))
+    def _broadcast(self) -> None:
+        self._tasks.sleep(BATCH_DELAY_MS)
+        self._is_broadcast_scheduled = False
+        self._send_heartbeat(self._heartbeat(), list(self._peer_addresses().values()))
 
-    def _choosing(self, others: dict[str, str]) -> list[str]:
+    def _active_peer_names(self, addresses: dict[str, str]) -> list[str]:
         """Return the others that choose by this node's work."""
-        return [name for name in self._view.active_names() if name in others]
+        return [name for name in self._view.active_peer_names() if name in addresses]
 
-    def _send_sign(self, report: NodeReport, addresses: list[str]) -> None:
-        young = self._clock.now_ms() - self._started_ms < YOUNG_MS
-        self._send_data(codec.encode_sign(LifeSign.of(report, young)), addresses)
+    def _send_short_heartbeat(self, heartbeat: Heartbeat, addresses: list[str]) -> None:
+        young = self._clock.now_ms() - self._started_ms < STARTUP_RECORD_MS
+        self._send_data(
+            codec.encode_short_heartbeat(ShortHeartbeat.from_heartbeat(heartbeat, young)), addresses
+        )
 
-    def _send(self, report: NodeReport, addresses: list[str]) -> None:
+    def _send_heartbeat(self, heartbeat: Heartbeat, addresses: list[str]) -> None:
         if not addresses:
             return
-        if report.residency and len(self._others()) > PEERS_A_ROUND:
-            self._rounds_until_residency = (self._rounds_until_residency + 1) % RESIDENCY_ROUNDS
-            if self._rounds_until_residency:
-                report = attrs.evolve(report, residency=None)
-        data = codec.encode(report)
+        if heartbeat.residency and len(self._peer_addresses()) > PEERS_PER_ROUND:
+            self._rounds_since_residency = (self._rounds_since_residency + 1) % ROUNDS_PER_RESIDENCY
+            if self._rounds_since_residency:
+                heartbeat = attrs.evolve(heartbeat, residency=None)
+        data = codec.encode_heartbeat(heartbeat)
         if len(data) > MAX_DATAGRAM_BYTES:
             log(_LOGGER, events.ReportTooLarge(bytes=len(data)))
             return
@@ -163,38 +165,38 @@
             except OSError as error:
                 log(_LOGGER, events.ReportUnsent(to=address, cause=error))
 
-    def tell_soon(self, names: list[str]) -> None:
+    def schedule_work_delta(self, names: list[str]) -> None:
         """Tell some nodes within a moment what changes of this node's work.
 
         What comes meanwhile goes with it. A whole report each time was most of what a holder reads.
         """
-        self._soon.update(names)
-        if not self._telling:
-            self._telling = True
-            self._tasks.spawn(self._tell)
-
-    def _tell(self) -> None:
-        self._tasks.sleep(SOON_MS)
-        self._telling = False
-        names, self._soon = self._soon, set()
-        cards = [self._view.card_by_name.get(name) for name in names]
+        self._pending_delta_names.update(names)
+        if not self._is_delta_scheduled:
+            self._is_delta_scheduled = True
+            self._tasks.spawn(self._send_work_delta)
+
+    def _send_work_delta(self) -> None:
+        self._tasks.sleep(BATCH_DELAY_MS)
+        self._is_delta_scheduled = False
+        names, self._pending_delta_names = self._pending_delta_names, set()
+        cards = [self._view.record_by_name.get(name) for name in names]
         addresses = [card.report_address for card in cards if card is not None]
-        self._send_data(codec.encode_change(self._change()), addresses)
+        self._send_data(codec.encode_work_delta(self._work_delta()), addresses)
 
-    def _others(self) -> dict[str, str]:
+    def _peer_addresses(self) -> dict[str, str]:
         """Return where the other nodes take reports, by name."""
         return {
             name: card.report_address
-            for name, card in self._view.card_by_name.items()
+            for name, card in self._view.record_by_name.items()
             if card.report_address != self._address
         }
 
-    def _send_for_good(self) -> None:
+    def _send_loop(self) -> None:
         while not self._closed:
-            self.send_now()
-            self._tasks.sleep(EVERY_MS)
+            self.send_round()
+            self._tasks.sleep(HEARTBEAT_INTERVAL_MS)
 
-    def _receive(self) -> None:
+    def _receive_loop(self) -> None:
         # A closed socket fails at once each time: the loop would never give way again.
         while not self._closed:
             try:
@@ -202,49 +204,53 @@
             except OSError as error:
                 log(_LOGGER, events.ReportUnread(cause=error))
                 continue
-            if data == codec.ASK:
-                self._answer(f"{host}:{port}")
+            if data == codec.HEARTBEAT_REQUEST:
+                self._answer_request(f"{host}:{port}")
             else:
-                self._take(codec.decode(data), host, port, len(data))
+                self._handle(codec.decode(data), host, port, len(data))
 
-    def _take(
-        self, told: NodeReport | LifeSign | WorkChange | None, host: str, port: int, size: int
+    def _handle(
+        self,
+        message: Heartbeat | ShortHeartbeat | WorkDelta | None,
+        host: str,
+        port: int,
+        size_bytes: int,
     ) -> None:
         now_ms = self._clock.now_ms()
-        match told:
+        match message:
             case None:
-                if host not in self._unreadable_from:
-                    self._unreadable_from.add(host)
-                    log(_LOGGER, events.UnreadableDatagram(sender=host, bytes=size))
-            case LifeSign():
-                if self._view.lacks(told):
-                    self._ask(f"{host}:{port}", now_ms)
-                report = self._view.heard_sign(told, now_ms)
+                if host not in self._unreadable_senders:
+                    self._unreadable_senders.add(host)
+                    log(_LOGGER, events.UnreadableDatagram(sender=host, bytes=size_bytes))
+            case ShortHeartbeat():
+                if self._view.needs_full_heartbeat(message):
+                    self._request_heartbeat(f"{host}:{port}", now_ms)
+                report = self._view.receive_short(message, now_ms)
                 if report is not None:
-                    self._on_report(report)
-            case WorkChange():
-                self._view.heard_change(told, now_ms)
-            case NodeReport():
-                if self._view.heard(told, now_ms):
-                    self._on_report(told)
-
-    def _ask(self, address: str, now_ms: int) -> None:
+                    self._on_heartbeat(report)
+            case WorkDelta():
+                self._view.receive_work_delta(message, now_ms)
+            case Heartbeat():
+                if self._view.receive(message, now_ms):
+                    self._on_heartbeat(message)
+
+    def _request_heartbeat(self, address: str, now_ms: int) -> None:
         """Ask a node of which only a sign of life is known for its whole report."""
-        if _due(self._asked_ms_by_address, address, now_ms):
-            self._send_data(codec.ASK, [address])
+        if _passes_rate_limit(self._requested_ms_by_address, address, now_ms):
+            self._send_data(codec.HEARTBEAT_REQUEST, [address])
 
-    def _answer(self, address: str) -> None:
+    def _answer_request(self, address: str) -> None:
         """Tell all to a node that asks, if it is one of the fleet or may be about to be."""
-        if _due(self._answered_ms_by_address, address, self._clock.now_ms()):
-            self._send(self._report(), [address])
+        if _passes_rate_limit(self._answered_ms_by_address, address, self._clock.now_ms()):
+            self._send_heartbeat(self._heartbeat(), [address])
 
 
-def _due(at_ms_by_address: dict[str, int], address: str, now_ms: int) -> bool:
+def _passes_rate_limit(at_ms_by_address: dict[str, int], address: str, now_ms: int) -> bool:
     """Tell whether an address may be sent to again, and note that it is."""
     for known, at_ms in list(at_ms_by_address.items()):
-        if now_ms - at_ms >= ASK_EVERY_MS:
+        if now_ms - at_ms >= REQUEST_INTERVAL_MS:
             del at_ms_by_address[known]
-    if address in at_ms_by_address or len(at_ms_by_address) >= MOST_ASKED:
+    if address in at_ms_by_address or len(at_ms_by_address) >= MAX_RATE_LIMITED_ADDRESSES:
         return False
     at_ms_by_address[address] = now_ms
     return True
--- a/monsoonflow/fleet/models.py
+++ b/monsoonflow/fleet/models.py
@@ -14,30 +14,30 @@
 from ..routing.in_flight import ServerWork
 from ..routing.overload import OverloadedRunners
 
-USUAL_CORES: Final = 1.0
+DEFAULT_CORES: Final = 1.0
 """Taken for a machine that tells nothing, or nothing that could be meant."""
 
-LEAST_CORES: Final = 1 / 64
-MOST_CORES: Final = 1_024.0
+MIN_CORES: Final = 1 / 64
+MAX_CORES: Final = 1_024.0
 """Bounds of what is believed: beyond any machine that runs an entry node."""
 
 
-def told_cores(value: object) -> float:
+def bounded_cores(value: object) -> float:
     """Return a machine's processor as somebody told it, within bounds.
 
     A wrong word only moves the node's place among the candidates for a duty: the rest of what was
     told with it is good all the same.
 
-    >>> told_cores(2.15), told_cores(None), told_cores("4"), told_cores(-1), told_cores(10**400)
-    (2.15, 1.0, 1.0, 1.0, 1024.0)
+    >>> [bounded_cores(value) for value in (2.15, None, "4", -1, 10**400)]
+    [2.15, 1.0, 1.0, 1.0, 1024.0]
     """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < math.inf:
-        return USUAL_CORES
-    return float(min(max(value, LEAST_CORES), MOST_CORES))
+        return DEFAULT_CORES
+    return float(min(max(value, MIN_CORES), MAX_CORES))
 
 
 @attrs.frozen(slots=True)
-class NodeCard:
+class NodeRecord:
     """How to reach an entry node; kept in the store.
 
     :param boot: names one life of the node's process.
@@ -52,11 +52,11 @@
     callers_address: str
     peer_address: str
     report_address: str
-    cores: float = USUAL_CORES
+    cores: float = DEFAULT_CORES
 
 
 @attrs.frozen(slots=True)
-class DutyClaim:
+class CellLeaseClaim:
     """Who gives orders to the runners of a cell, as a node knows it.
 
     :param epoch: rises with each holder; the fencing number of its orders.
@@ -67,12 +67,12 @@
     cell: str
     holder: str
     epoch: int
-    heirs: tuple[str, ...] = ()
+    standbys: tuple[str, ...] = ()
     counter: int = 0
 
 
 @attrs.frozen(slots=True)
-class Heard:
+class HeartbeatAck:
     """The newest report that a node has heard of a holder of a duty."""
 
     name: str
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen(slots=True)
-class HeldAdapters:
+class ResidentAdapters:
     """The adapters that a runner can serve now, as the holder of its cell knows it."""
 
     life: ServerLife
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen(slots=True)
-class NamedVersion:
+class RecentVersion:
     """A version of an adapter that was named lately.
 
     :param age_ms: how long before the report it was named, at least as far as its node knows.
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen(slots=True)
-class RetryMemory:
+class RetryHistory:
     """What a node remembers of retries besides its own count.
 
     :param counts_ms: for how long its process has counted, at most the budget's window.
@@ -109,14 +109,14 @@
     :param ended: how many such processes there were.
     """
 
-    counts_ms: int = 0
-    hears: frozenset[str] = frozenset()
-    past_by_service: dict[str, int] = attrs.Factory(dict)
-    ended: int = 0
+    counted_ms: int = 0
+    fresh_peers: frozenset[str] = frozenset()
+    past_retries_by_service: dict[str, int] = attrs.Factory(dict)
+    ended_processes: int = 0
 
 
 @attrs.frozen(slots=True)
-class NodeReport:
+class Heartbeat:
     """One node's word about itself; a newer one replaces it whole.
 
     :param card: how to reach it: who hears a node need not have read its card in the store.
@@ -138,40 +138,40 @@
     :param quarantined: requests that must reach no server.
     """
 
-    card: NodeCard
+    record: NodeRecord
     sequence: int
-    ready: bool
-    leaving: bool
+    is_ready: bool
+    is_leaving: bool
     config_version: int
-    store_heard: bool
+    is_store_reachable: bool
     work_by_server: dict[ServerLife, ServerWork] = attrs.Factory(dict)
-    spent_by_service: dict[str, RetryUsage] = attrs.Factory(dict)
-    left_servers: tuple[ServerLife, ...] = ()
-    versions: tuple[NamedVersion, ...] = ()
-    claims: tuple[DutyClaim, ...] = ()
-    residency: tuple[HeldAdapters, ...] | None = ()
-    heard: tuple[Heard, ...] = ()
-    came_servers: tuple[ServerLife, ...] = ()
-    crowded: OverloadedRunners | None = None
+    retry_usage_by_service: dict[str, RetryUsage] = attrs.Factory(dict)
+    departed_servers: tuple[ServerLife, ...] = ()
+    versions: tuple[RecentVersion, ...] = ()
+    claims: tuple[CellLeaseClaim, ...] = ()
+    residency: tuple[ResidentAdapters, ...] | None = ()
+    acks: tuple[HeartbeatAck, ...] = ()
+    added_servers: tuple[ServerLife, ...] = ()
+    overloaded_runners: OverloadedRunners | None = None
     lag_ms: int = 0
-    active: bool = True
-    retries: RetryMemory = RetryMemory()
-    endings: tuple[Ending, ...] = ()
-    quarantined: tuple[str, ...] = ()
+    is_active: bool = True
+    retry_history: RetryHistory = RetryHistory()
+    crashes: tuple[Ending, ...] = ()
+    quarantined_fingerprints: tuple[str, ...] = ()
 
     @property
     def name(self) -> str:
         """Return the node's name."""
-        return self.card.name
+        return self.record.name
 
     @property
     def boot(self) -> str:
         """Return the name of this life of the node's process."""
-        return self.card.boot
+        return self.record.boot
 
 
 @attrs.frozen(slots=True)
-class WorkChange:
+class WorkDelta:
     """What has changed of a node's work in progress, for the holders of duties.
 
     :param work_by_server: at the servers where it has changed, whole; empty where none is left.
@@ -184,49 +184,53 @@
 
 
 @attrs.frozen(slots=True)
-class LifeSign:
+class ShortHeartbeat:
     """The part of a node's report for those that need no more than to know that it lives.
 
-    :param spent_by_service: where it has retries: requests alone change little in the budget.
+    :param retry_usage_by_service: where it has retries: requests alone change little in the budget.
     :param card: told while the node is young; later it is known, or asked for.
     """
 
     name: str
     boot: str
     sequence: int
-    ready: bool
-    leaving: bool
-    store_heard: bool
-    active: bool
+    is_ready: bool
+    is_leaving: bool
+    is_store_reachable: bool
+    is_active: bool
     config_version: int
     lag_ms: int = 0
-    claims: tuple[DutyClaim, ...] = ()
-    heard: tuple[Heard, ...] = ()
-    spent_by_service: dict[str, RetryUsage] = attrs.Factory(dict)
-    card: NodeCard | None = None
-    quarantined: tuple[str, ...] = ()
+    claims: tuple[CellLeaseClaim, ...] = ()
+    acks: tuple[HeartbeatAck, ...] = ()
+    retry_usage_by_service: dict[str, RetryUsage] = attrs.Factory(dict)
+    record: NodeRecord | None = None
+    quarantined_fingerprints: tuple[str, ...] = ()
 
     @classmethod
-    def of(cls, report: NodeReport, with_card: bool) -> LifeSign:
+    def from_heartbeat(cls, heartbeat: Heartbeat, with_record: bool) -> ShortHeartbeat:
         """Return the sign that goes with a report."""
         return cls(
-            report.name,
-            report.boot,
-            report.sequence,
-            report.ready,
-            report.leaving,
-            report.store_heard,
-            report.active,
-            report.config_version,
-            report.lag_ms,
-            report.claims,
-            report.heard,
-            {name: spent for name, spent in report.spent_by_service.items() if spent.retries},
-            report.card if with_card else None,
-            report.quarantined,
+            heartbeat.name,
+            heartbeat.boot,
+            heartbeat.sequence,
+            heartbeat.is_ready,
+            heartbeat.is_leaving,
+            heartbeat.is_store_reachable,
+            heartbeat.is_active,
+            heartbeat.config_version,
+            heartbeat.lag_ms,
+            heartbeat.claims,
+            heartbeat.acks,
+            {
+                name: spent
+                for name, spent in heartbeat.retry_usage_by_service.items()
+                if spent.retries
+            },
+            heartbeat.record if with_record else None,
+            heartbeat.quarantined_fingerprints,
         )
 
-    def report(self, known: NodeReport | None, card: NodeCard) -> NodeReport:
+    def to_heartbeat(self, previous: Heartbeat | None, record: NodeRecord) -> Heartbeat:
         """Return the node's report as far as it can be told now.
 
         What an active node has in progress stays as it was told last; one that is not active has
@@ -234,22 +238,24 @@
 
         :param known: its last report of the same boot.
         """
-        keeps = known is not None and self.active
-        return NodeReport(
-            card=card,
+        keeps = previous is not None and self.is_active
+        return Heartbeat(
+            record=record,
             sequence=self.sequence,
-            ready=self.ready,
-            leaving=self.leaving,
+            is_ready=self.is_ready,
+            is_leaving=self.is_leaving,
             config_version=self.config_version,
-            store_heard=self.store_heard,
-            work_by_server=known.work_by_server if keeps else {},
-            spent_by_service=known.spent_by_service if keeps else self.spent_by_service,
+            is_store_reachable=self.is_store_reachable,
+            work_by_server=previous.work_by_server if keeps else {},
+            retry_usage_by_service=(
+                previous.retry_usage_by_service if keeps else self.retry_usage_by_service
+            ),
             claims=self.claims,
             residency=None,
-            heard=self.heard,
-            crowded=known.crowded if keeps else None,
+            acks=self.acks,
+            overloaded_runners=previous.overloaded_runners if keeps else None,
             lag_ms=self.lag_ms,
-            active=self.active,
-            retries=known.retries if keeps else RetryMemory(),
-            quarantined=self.quarantined,
+            is_active=self.is_active,
+            retry_history=previous.retry_history if keeps else RetryHistory(),
+            quarantined_fingerprints=self.quarantined_fingerprints,
         )
--- a/monsoonflow/gateway/backlog.py
+++ b/monsoonflow/gateway/backlog.py
@@ -40,7 +40,7 @@
         total.add(self.view.work_at(life, now_ms))
         own = self.in_flight.work_at(life)
         total.add(own)
-        crowded = self.view.crowded(cell, now_ms)
+        crowded = self.view.overloaded_runners(cell, now_ms)
         if crowded is None:
             return total
         pace = self.pace.tokens_per_ms(None, now_ms)
--- a/monsoonflow/gateway/budget.py
+++ b/monsoonflow/gateway/budget.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from ..core.clock import Clock
-from ..fleet.models import NodeReport, RetryMemory
-from ..fleet.rounds import EVERY_MS
-from ..fleet.view import FleetView, Word
+from ..fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS
+from ..fleet.models import Heartbeat, RetryHistory
+from ..fleet.view import FleetView, ReceivedHeartbeat
 from ..routing.budget import FleetRetryBudget, Headroom, PeerRetryUsage, RetryUsage
 
 
@@ -53,69 +53,82 @@
         """Return what the other nodes have spent of a service's budget."""
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
-        active_ms, idle_ms = view.word_fades_ms(active=True), view.word_fades_ms(active=False)
-        words = view.words(now_ms, max(window_ms, idle_ms))
-        active = [word.report for word in words if self._shares(word, active_ms)]
-        idle = [w.report for w in words if not w.report.active and w.age_ms <= idle_ms]
+        active_ms, idle_ms = view.max_age_ms(is_active=True), view.max_age_ms(is_active=False)
+        words = view.received_heartbeats(now_ms, max(window_ms, idle_ms))
+        active = [word.heartbeat for word in words if self._shares(word, active_ms)]
+        idle = [w.heartbeat for w in words if not w.heartbeat.is_active and w.age_ms <= idle_ms]
         counted = {report.name for report in (*active, *idle)}
         silent = [
-            word.report
+            word.heartbeat
             for word in words
-            if word.age_ms <= window_ms and word.report.name not in counted
+            if word.age_ms <= window_ms and word.heartbeat.name not in counted
         ]
-        ended = view.ended(window_ms, now_ms)
-        memories = [report.retries for report in active if report.retries.counts_ms >= window_ms]
-        told_past = [memory.past_by_service.get(service, 0) for memory in memories]
-        heard = {word.report.name for word in words}
-        sharers = {view.name, *view.card_by_name, *heard} - {report.name for report in idle}
+        ended = view.ended_process_heartbeats(window_ms, now_ms)
+        memories = [
+            report.retry_history
+            for report in active
+            if report.retry_history.counted_ms >= window_ms
+        ]
+        told_past = [memory.past_retries_by_service.get(service, 0) for memory in memories]
+        heard = {word.heartbeat.name for word in words}
+        sharers = {view.name, *view.record_by_name, *heard} - {report.name for report in idle}
         return PeerRetryUsage(
             reported=tuple(
-                [report.spent_by_service.get(service, RetryUsage()) for report in (*active, *idle)]
+                [
+                    report.retry_usage_by_service.get(service, RetryUsage())
+                    for report in (*active, *idle)
+                ]
             ),
             sharing_nodes=len(sharers),
             connected_nodes=1 + len(active),
             past_retries=_retries(service, silent) + max([_retries(service, ended), *told_past]),
-            ended_processes=max([len(_cut_short(ended)), *(memory.ended for memory in memories)]),
+            ended_processes=max(
+                [len(_cut_short(ended)), *(memory.ended_processes for memory in memories)]
+            ),
             is_entitled=self._active()
             and (self._budget.counted_ms(now_ms) >= window_ms or bool(memories)),
-            max_heartbeat_age_ms=active_ms + EVERY_MS,
+            max_heartbeat_age_ms=active_ms + HEARTBEAT_INTERVAL_MS,
         )
 
-    def memory(self) -> RetryMemory:
+    def memory(self) -> RetryHistory:
         """Return what this node tells the others of what it remembers.
 
         One that has no callers shares with nobody, and nobody asks for its memory.
         """
         if not self._active():
-            return RetryMemory()
+            return RetryHistory()
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
-        ended = view.ended(window_ms, now_ms)
-        services = {service for report in ended for service in report.spent_by_service}
-        return RetryMemory(
-            counts_ms=self._budget.counted_ms(now_ms),
-            hears=frozenset(view.active_within(view.word_fades_ms(active=True), now_ms)),
-            past_by_service={service: _retries(service, ended) for service in services},
-            ended=len(_cut_short(ended)),
+        ended = view.ended_process_heartbeats(window_ms, now_ms)
+        services = {service for report in ended for service in report.retry_usage_by_service}
+        return RetryHistory(
+            counted_ms=self._budget.counted_ms(now_ms),
+            fresh_peers=frozenset(
+                view.active_peer_names_within(view.max_age_ms(is_active=True), now_ms)
+            ),
+            past_retries_by_service={service: _retries(service, ended) for service in services},
+            ended_processes=len(_cut_short(ended)),
         )
 
-    def _shares(self, word: Word, fades_ms: int) -> bool:
+    def _shares(self, word: ReceivedHeartbeat, fades_ms: int) -> bool:
         """Tell whether a node shares with this one by its word: both hear each other.
 
         One that does not hear this node spends by its last word, and keeps its own share.
         """
-        report = word.report
-        fresh = report.active and word.age_ms <= fades_ms
-        return fresh and self._view.name in report.retries.hears
+        report = word.heartbeat
+        fresh = report.is_active and word.age_ms <= fades_ms
+        return fresh and self._view.name in report.retry_history.fresh_peers
 
 
-def _retries(service: str, reports: list[NodeReport]) -> int:
-    return sum(report.spent_by_service.get(service, RetryUsage()).retries for report in reports)
+def _retries(service: str, reports: list[Heartbeat]) -> int:
+    return sum(
+        report.retry_usage_by_service.get(service, RetryUsage()).retries for report in reports
+    )
 
 
-def _cut_short(ended: list[NodeReport]) -> list[NodeReport]:
+def _cut_short(ended: list[Heartbeat]) -> list[Heartbeat]:
     """Return the processes that may have spent their share after their last report.
 
     One that stopped in order has told all, and one without callers had no share.
     """
-    return [report for report in ended if report.active and not report.leaving]
+    return [report for report in ended if report.is_active and not report.is_leaving]
--- a/monsoonflow/node/context.py
+++ b/monsoonflow/node/context.py
@@ -14,7 +14,7 @@
 from ..core.journal import Journal
 from ..core.tasks import Tasks
 from ..helpers.ids import new_id
-from ..membership.view import Leaving, Membership
+from ..membership.view import LeavingServers, Membership
 from ..ownership.lease import HeldLease, LeaseWatch
 from ..ownership.models import LeaseRow, LeaseTiming, OwnerRow
 from ..placement.models import PlacementTuning, RunnerView
@@ -87,7 +87,7 @@
         self.config_heard_ms = clock.now_ms()
         self.owners: dict[str, tuple[OwnerRow, int]] = {}
         self.remote_by_runner: dict[str, RemoteRunner] = {}
-        self.leaving = Leaving(FAILURES_TO_LEAVE)
+        self.leaving = LeavingServers(FAILURES_TO_LEAVE)
         self.core = ServingCore(
             self.lease,
             Admission(Limits(settings["max-queue"], settings["max-per-customer"])),
@@ -130,7 +130,7 @@
         self.me = self._new_row()
         self.lease = HeldLease(self.timing, self.settings["max-outage-ms"])
         self.core.lease = self.lease
-        self.membership.me = self.me
+        self.membership.own_row = self.me
 
     def takes_new_work(self) -> bool:
         """Tell whether this node admits new requests."""
@@ -142,7 +142,7 @@
 
     def serving_nodes(self) -> list[NodeAddress]:
         """Return the nodes that callers may use."""
-        rows = [peer.row for peer in self.membership.serving(self.now_ms())]
+        rows = [peer.row for peer in self.membership.serving_peers(self.now_ms())]
         if self.takes_new_work():
             rows.append(self.me)
         return [NodeAddress(row.node, row.http, row.incarnation) for row in rows]
--- a/monsoonflow/node/health.py
+++ b/monsoonflow/node/health.py
@@ -36,7 +36,7 @@
         while True:
             listed = self._context.vms.read()
             if not isinstance(listed, Unavailable):
-                self._context.leaving.vm_list(set(listed.leaving))
+                self._context.leaving.update_vm_list(set(listed.leaving))
             self._context.tasks.sleep(VM_LIST_EVERY_MS)
 
     def _check(self, owned: Owned) -> None:
@@ -51,14 +51,14 @@
         if context.core.owned_by_runner.get(runner_id) is not owned:
             return
         if state is None:
-            context.leaving.check_failed(entry.address)
+            context.leaving.record_failed_check(entry.address)
         else:
-            context.leaving.answered(entry.address, state.boot_id, state.leaving)
+            context.leaving.record_answer(entry.address, state.boot_id, state.leaving)
             if mark is not None and mark == self._dispatcher.order_mark(runner_id):
                 resident = set(state.resident)
                 context.core.reconcile(runner_id, owned.fence, state.boot_id, resident)
             self._end_foreign_runs(owned, state, asked_ms)
-        reason = context.leaving.reason(entry.address)
+        reason = context.leaving.leave_reason(entry.address)
         if owned.takes_new_work != (reason is None):
             context.journal.record(
                 runner_id, "takes new work" if reason is None else "takes no new work", cause=reason
--- a/monsoonflow/node/heartbeat.py
+++ b/monsoonflow/node/heartbeat.py
@@ -68,7 +68,7 @@
         context = self._context
         if context.me.incarnation < peer.row.incarnation:
             return True
-        return context.now_ms() - peer.heard_ms > 1.5 * context.settings["heartbeat-ms"]
+        return context.now_ms() - peer.last_seen_ms > 1.5 * context.settings["heartbeat-ms"]
 
     def report(self) -> pb.NodeReport:
         """Return this node's report."""
@@ -77,7 +77,7 @@
         report = pb.NodeReport(
             node=context.settings["node"],
             incarnation=context.me.incarnation,
-            leaving=context.stopping,
+            is_leaving=context.stopping,
             config_version=context.config.version if context.config_loaded else 0,
             runners_in_use=self._spread.own_counts(),
         )
@@ -141,9 +141,9 @@
         peer = context.membership.peer_by_incarnation.get(report.incarnation)
         if peer is None:
             return
-        if report.leaving and not peer.leaving:
+        if report.leaving and not peer.is_leaving:
             _LOGGER.info("%s", pairs(event="peer_leaving", node=report.node))
-        context.membership.heartbeat(
+        context.membership.record_heartbeat(
             report.incarnation, report.leaving, report.config_version, now_ms
         )
         self._spread.take(report.incarnation, dict(report.runners_in_use))
--- a/monsoonflow/node/intake.py
+++ b/monsoonflow/node/intake.py
@@ -173,7 +173,7 @@
         return _Home(peer)
 
     def _peer_of_home(self, home: str) -> Peer | None:
-        for peer in self._context.membership.live(self._context.now_ms()):
+        for peer in self._context.membership.live_peers(self._context.now_ms()):
             if home_of(peer.row.incarnation) == home:
                 return peer
         return None
--- a/monsoonflow/node/lease_loop.py
+++ b/monsoonflow/node/lease_loop.py
@@ -9,9 +9,9 @@
 from ..helpers.hashing import rank
 from ..helpers.ids import new_id
 from ..helpers.logfmt import pairs
-from ..ownership.book import claims
 from ..ownership.const import LEASE_PREFIX, OWNER_PREFIX
 from ..ownership.models import Claim, LeaseRow
+from ..ownership.runner_claims import choose_claims
 from ..rpc.client import ControlCaller
 from ..storage.models import Committed, Conflict, Row, Transaction, Unavailable
 from .const import SUCCESSORS
@@ -58,10 +58,10 @@
     def _is_calm(self) -> bool:
         """Tell whether every runner has an owner that is heard of, and no peer is silent."""
         context = self._context
-        live = {peer.row.incarnation for peer in context.membership.live(context.now_ms())}
+        live = {peer.row.incarnation for peer in context.membership.live_peers(context.now_ms())}
         quiet_ms = 3 * context.settings["heartbeat-ms"]
         for peer in context.membership.peer_by_incarnation.values():
-            if peer.leaving or context.now_ms() - peer.heard_ms > quiet_ms:
+            if peer.is_leaving or context.now_ms() - peer.last_seen_ms > quiet_ms:
                 return False
         live.add(context.me.incarnation)
         owned = context.core.owned_by_runner
@@ -79,8 +79,8 @@
         :returns: whether the lease is held.
         """
         context = self._context
-        if context.lease.lapsed or (
-            context.me.counter and not context.lease.held(context.now_ms())
+        if context.lease.has_lapsed or (
+            context.me.counter and not context.lease.is_held(context.now_ms())
         ):
             self._begin_new_life()
         me = attrs.evolve(
@@ -96,10 +96,10 @@
         if context.me.incarnation != incarnation:
             return False
         if not written:
-            return context.lease.held(context.now_ms())
-        context.me = context.membership.me = me
+            return context.lease.is_held(context.now_ms())
+        context.me = context.membership.own_row = me
         self._named = set(me.successors)
-        held = context.lease.renewed(sent_ms, context.now_ms())
+        held = context.lease.record_renewal(sent_ms, context.now_ms())
         context.metrics.lease_held.set(held)
         return held
 
@@ -158,7 +158,7 @@
             return
         asked_ms = context.now_ms()
         if self._client.promise(peer.row.rpc, context.me.incarnation, for_ms):
-            context.lease.promised(successor, asked_ms, for_ms)
+            context.lease.record_promise(successor, asked_ms, for_ms)
 
     def _begin_new_life(self) -> None:
         context = self._context
@@ -171,7 +171,9 @@
 
     def _choose_successors(self) -> tuple[str, ...]:
         context = self._context
-        serving = [peer.row.incarnation for peer in context.membership.serving(context.now_ms())]
+        serving = [
+            peer.row.incarnation for peer in context.membership.serving_peers(context.now_ms())
+        ]
         return tuple(rank(context.me.incarnation, serving)[:SUCCESSORS])
 
     def _read_and_claim(self) -> None:
@@ -188,8 +190,8 @@
             lease.incarnation: row.version for lease, row in zip(leases, lease_rows, strict=True)
         }
         for lease in leases:
-            context.watch.seen(lease.incarnation, lease.counter, read_ms)
-        context.membership.read_rows(leases, read_ms)
+            context.watch.record_row(lease.incarnation, lease.counter, read_ms)
+        context.membership.apply_rows(leases, read_ms)
         for row in owner_rows:
             context.take_owner(to_owner(row), row.version)
         self._drop_lost()
@@ -208,13 +210,13 @@
     def _claim(self, leases: list[LeaseRow], read_ms: int) -> None:
         context = self._context
         now_ms = context.now_ms()
-        if context.stopping or not context.lease.held(now_ms):
+        if context.stopping or not context.lease.is_held(now_ms):
             return
-        live = {peer.row.incarnation: peer.row for peer in context.membership.serving(now_ms)}
+        live = {peer.row.incarnation: peer.row for peer in context.membership.serving_peers(now_ms)}
         live[context.me.incarnation] = context.me
         lapsed = self._lapsed(leases, read_ms, now_ms)
         runners = sorted(context.config.runner_by_id)
-        for claim in claims(context.me, runners, context.owners, live, lapsed):
+        for claim in choose_claims(context.me, runners, context.owners, live, lapsed):
             self._write_claim(claim)
         self._take_rows_of_mine()
         self._sweep(lapsed)
@@ -237,7 +239,7 @@
             return True
         # Without a named successor the holder has nobody whose promises could carry it on.
         named = context.me.incarnation in lease.successors or not lease.successors
-        return context.watch.lapsed(lease.incarnation, named, read_ms, now_ms)
+        return context.watch.has_lapsed(lease.incarnation, named, read_ms, now_ms)
 
     def _write_claim(self, claim: Claim) -> None:
         context = self._context
--- a/monsoonflow/node/load_gate.py
+++ b/monsoonflow/node/load_gate.py
@@ -103,11 +103,13 @@
 
     def _giver_address(self) -> str:
         context = self._context
-        rows = [peer.row for peer in context.membership.serving(context.now_ms())] + [context.me]
+        rows = [peer.row for peer in context.membership.serving_peers(context.now_ms())] + [
+            context.me
+        ]
         by_incarnation = {row.incarnation: row.rpc for row in rows}
         chosen = best("load-grants", by_incarnation)
         return by_incarnation[chosen] if chosen else context.me.rpc
 
     def _set_share(self) -> None:
-        nodes = len(self._context.membership.live(self._context.now_ms())) + 1
+        nodes = len(self._context.membership.live_peers(self._context.now_ms())) + 1
         self._context.core.share.set_rate(self._context.settings["loads-per-second"] / nodes)
--- a/monsoonflow/node/router.py
+++ b/monsoonflow/node/router.py
@@ -98,6 +98,6 @@
     if incarnation is None:
         return None
     peer = context.membership.peer_by_incarnation.get(incarnation)
-    if peer is None or peer not in context.membership.live(context.now_ms()):
+    if peer is None or peer not in context.membership.live_peers(context.now_ms()):
         return None
     return peer
--- a/monsoonflow/node/service_health.py
+++ b/monsoonflow/node/service_health.py
@@ -33,6 +33,8 @@
         result = self._http.call("GET", f"{address}/health")
         data = result.json() if isinstance(result, Answer) and result.status == 200 else None
         if not isinstance(data, dict):
-            context.leaving.check_failed(address)
+            context.leaving.record_failed_check(address)
             return
-        context.leaving.answered(address, str(data.get("boot_id", "")), bool(data.get("leaving")))
+        context.leaving.record_answer(
+            address, str(data.get("boot_id", "")), bool(data.get("leaving"))
+        )
--- a/monsoonflow/node/stop.py
+++ b/monsoonflow/node/stop.py
@@ -6,8 +6,8 @@
 
 from ..helpers.ids import new_id
 from ..helpers.logfmt import pairs
-from ..ownership.book import preferred_owner
 from ..ownership.models import OwnerRow
+from ..ownership.runner_claims import preferred_owner
 from ..rpc import control_pb2 as pb
 from ..rpc.client import ControlCaller
 from ..storage.models import Committed, Row, Transaction
@@ -81,7 +81,7 @@
         owned = context.core.owned_by_runner.get(runner_id)
         if owned is None:
             return
-        peers = {peer.row.node: peer for peer in context.membership.serving(context.now_ms())}
+        peers = {peer.row.node: peer for peer in context.membership.serving_peers(context.now_ms())}
         runners = sorted(context.config.runner_by_id)
         successor = preferred_owner(runner_id, peers, runners)
         version = self._current_version(runner_id, owned.fence)
--- a/monsoonflow/node/takeover.py
+++ b/monsoonflow/node/takeover.py
@@ -8,7 +8,7 @@
 from ..core.adapter import AdapterRef
 from ..helpers.logfmt import pairs
 from ..ownership.models import OwnerRow
-from ..ownership.quarantine import Quarantine
+from ..ownership.takeover_guard import TakeoverGuard
 from ..runner.aggregate import Runner
 from ..runner.models import RunnerLimits
 from ..serving.models import Owned
@@ -116,7 +116,7 @@
             runner,
             entry.base_model,
             row.fence,
-            Quarantine(entry.checks_fencing, until_ms, fenced=True),
+            TakeoverGuard(entry.checks_fencing, until_ms, is_fenced=True),
             foreign_runs=set(runner.adapter_by_running),
             taken_ms=now_ms,
         )
--- a/monsoonflow/ownership/lease.py
+++ b/monsoonflow/ownership/lease.py
@@ -19,22 +19,22 @@
         self._valid_until_ms: int | None = None
         self._last_renewal_ms: int | None = None
         self._promised_until_by_successor: dict[str, int] = {}
-        self.lapsed = False
+        self.has_lapsed = False
 
-    def held(self, now_ms: int) -> bool:
+    def is_held(self, now_ms: int) -> bool:
         """Tell whether orders may be sent at this moment."""
-        if self.lapsed or self._valid_until_ms is None:
+        if self.has_lapsed or self._valid_until_ms is None:
             return False
         if now_ms < self._valid_until_ms:
             return True
-        self.lapsed = True
+        self.has_lapsed = True
         return False
 
     def remaining_ms(self, now_ms: int) -> int:
         """Return how long the lease is still good for."""
-        return max(0, (self._valid_until_ms or 0) - now_ms) if self.held(now_ms) else 0
+        return max(0, (self._valid_until_ms or 0) - now_ms) if self.is_held(now_ms) else 0
 
-    def renewed(self, sent_ms: int, now_ms: int) -> bool:
+    def record_renewal(self, sent_ms: int, now_ms: int) -> bool:
         """Take the answer to a renewal.
 
         An answer that arrives after expiry must not revive the lease: a claimant may have claimed
@@ -44,22 +44,22 @@
         :param sent_ms: the holder's time before the renewal was sent.
         :returns: whether the lease is held.
         """
-        if self._valid_until_ms is not None and not self.held(now_ms):
+        if self._valid_until_ms is not None and not self.is_held(now_ms):
             return False
         until_ms = sent_ms + self._timing.duration_ms - self._timing.margin_ms
         if until_ms <= now_ms:
-            return self.held(now_ms)
+            return self.is_held(now_ms)
         self._valid_until_ms = max(until_ms, self._valid_until_ms or 0)
         self._last_renewal_ms = sent_ms
         return True
 
-    def promised(self, successor: str, asked_ms: int, for_ms: int) -> None:
+    def record_promise(self, successor: str, requested_ms: int, for_ms: int) -> None:
         """Take a successor's promise not to claim.
 
         :param asked_ms: the holder's time before it asked.
         :param for_ms: how long the successor will not claim, from when it was asked.
         """
-        until_ms = asked_ms + for_ms - self._timing.margin_ms
+        until_ms = requested_ms + for_ms - self._timing.margin_ms
         self._promised_until_by_successor[successor] = until_ms
 
     def extend_by_promises(self, successors: tuple[str, ...], now_ms: int) -> bool:
@@ -70,12 +70,12 @@
 
         :returns: whether the lease is held.
         """
-        if not successors or self._last_renewal_ms is None or not self.held(now_ms):
-            return self.held(now_ms)
+        if not successors or self._last_renewal_ms is None or not self.is_held(now_ms):
+            return self.is_held(now_ms)
         promised = [self._promised_until_by_successor.get(name, 0) for name in successors]
         until_ms = min(*promised, self._last_renewal_ms + self._max_outage_ms)
         self._valid_until_ms = max(self._valid_until_ms or 0, until_ms)
-        return self.held(now_ms)
+        return self.is_held(now_ms)
 
 
 class LeaseWatch:
@@ -88,7 +88,7 @@
         self._promised_until_by_incarnation: dict[str, int] = {}
         self._claiming: set[str] = set()
 
-    def seen(self, incarnation: str, counter: int, read_ms: int) -> None:
+    def record_row(self, incarnation: str, counter: int, read_ms: int) -> None:
         """Take a row as read from the table.
 
         :param read_ms: the claimant's time when the answer came.
@@ -114,7 +114,9 @@
         """Record that a claim is about to be written; from here on no promise is given."""
         self._claiming.add(incarnation)
 
-    def lapsed(self, incarnation: str, named: bool, last_read_ms: int, now_ms: int) -> bool:
+    def has_lapsed(
+        self, incarnation: str, is_successor: bool, last_read_ms: int, now_ms: int
+    ) -> bool:
         """Tell whether this node may claim what an incarnation owned.
 
         :param named: whether this node is one of the holder's named successors.
@@ -130,7 +132,7 @@
             return False
         silent_ms = last_read_ms - known[1]
         wait_ms = self._timing.claim_after_ms
-        if not named:
+        if not is_successor:
             wait_ms += self._max_outage_ms
         return silent_ms > wait_ms
 
--- a/monsoonflow/ownership/book.py
+++ b/monsoonflow/ownership/runner_claims.py
@@ -10,7 +10,7 @@
 VersionedOwner = tuple[OwnerRow, int]
 
 
-def preferred_owner(runner_id: str, nodes: Iterable[str], total_runners: list[str]) -> str | None:
+def preferred_owner(runner_id: str, nodes: Iterable[str], all_runners: list[str]) -> str | None:
     """Return the node that should own a runner, with shares kept within one of each other.
 
     Plain rendezvous hashing over few runners leaves some nodes with three and others with none;
@@ -21,9 +21,9 @@
     names = sorted(nodes)
     if not names:
         return None
-    share = -(-len(total_runners) // len(names))
+    share = -(-len(all_runners) // len(names))
     count_by_node = dict.fromkeys(names, 0)
-    for current in sorted(total_runners):
+    for current in sorted(all_runners):
         for name in rank(current, names):
             if count_by_node[name] < share:
                 count_by_node[name] += 1
@@ -33,12 +33,12 @@
     return None
 
 
-def claims(
-    me: LeaseRow,
+def choose_claims(
+    own_row: LeaseRow,
     runners: list[str],
-    owners: dict[str, VersionedOwner],
-    live: dict[str, LeaseRow],
-    lapsed: set[str],
+    owner_by_runner: dict[str, VersionedOwner],
+    live_rows: dict[str, LeaseRow],
+    lapsed_incarnations: set[str],
 ) -> list[Claim]:
     """Return the runners to claim now.
 
@@ -48,22 +48,22 @@
     :param live: the rows of the nodes that take new work, by incarnation.
     :param lapsed: the incarnations whose leases this node may treat as lapsed.
     """
-    names = {row.node for row in live.values() if not row.leaving}
+    names = {row.node for row in live_rows.values() if not row.leaving}
     decided: list[Claim] = []
     for runner_id in runners:
-        known = owners.get(runner_id)
-        if known is not None and not _is_free(known[0], me, lapsed):
+        known = owner_by_runner.get(runner_id)
+        if known is not None and not _is_free(known[0], own_row, lapsed_incarnations):
             continue
-        if preferred_owner(runner_id, names, runners) != me.node:
+        if preferred_owner(runner_id, names, runners) != own_row.node:
             continue
         fence = known[0].fence + 1 if known else 1
-        row = OwnerRow(runner_id, me.node, me.incarnation, fence)
+        row = OwnerRow(runner_id, own_row.node, own_row.incarnation, fence)
         reason = "nobody owned it" if known is None else "its owner's lease lapsed"
         decided.append(Claim(row, known[1] if known else 0, reason))
     return decided
 
 
-def _is_free(owner: OwnerRow, me: LeaseRow, lapsed: set[str]) -> bool:
+def _is_free(owner: OwnerRow, own_row: LeaseRow, lapsed_incarnations: set[str]) -> bool:
     if owner.incarnation == "":
         return True
-    return owner.incarnation != me.incarnation and owner.incarnation in lapsed
+    return owner.incarnation != own_row.incarnation and owner.incarnation in lapsed_incarnations
--- a/monsoonflow/ownership/quarantine.py
+++ b/monsoonflow/ownership/takeover_guard.py
@@ -8,7 +8,7 @@
 
 
 @attrs.define(slots=True)
-class Quarantine:
+class TakeoverGuard:
     """Restricts a runner's new owner after a takeover.
 
     A backend server that checks fencing numbers refuses the earlier owner's orders from the moment
@@ -20,13 +20,13 @@
     """
 
     checks_fencing: bool
-    until_ms: int
-    fenced: bool = False
+    restricted_until_ms: int
+    is_fenced: bool = False
 
     def permission(self, now_ms: int) -> Permission:
         """Return what may be ordered now."""
-        if not self.fenced:
+        if not self.is_fenced:
             return Permission.NOTHING
-        if self.checks_fencing or now_ms >= self.until_ms:
+        if self.checks_fencing or now_ms >= self.restricted_until_ms:
             return Permission.ALL
         return Permission.NO_EVICTION
--- a/monsoonflow/platform/settings.py
+++ b/monsoonflow/platform/settings.py
@@ -9,7 +9,7 @@
 from typing import Any, Final
 
 from ..entry.settings import EntrySettings, PeerBounds
-from ..fleet.models import USUAL_CORES, told_cores
+from ..fleet.models import DEFAULT_CORES, bounded_cores
 from ..helpers.settings import Setting, SettingError, one_of, pattern, whole
 
 SCHEMA: Final = [
@@ -107,9 +107,9 @@
     ``cpuCores`` is no number of cores: it is how many times as fast the one core is.
     """
     if not isinstance(limits, Mapping):
-        return USUAL_CORES
-    share, speed = (told_cores(limits.get(name)) for name in ("cpuShare", "cpuCores"))
-    return told_cores(share * speed)
+        return DEFAULT_CORES
+    share, speed = (bounded_cores(limits.get(name)) for name in ("cpuShare", "cpuCores"))
+    return bounded_cores(share * speed)
 
 
 def _ms(seconds: float) -> int:
--- a/monsoonflow/serving/core.py
+++ b/monsoonflow/serving/core.py
@@ -96,11 +96,11 @@
         owned = self.owned_by_runner.get(runner_id)
         if owned is None or owned.fence != fence:
             return False
-        return self.lease.held(now_ms) and not owned.handing_over
+        return self.lease.is_held(now_ms) and not owned.handing_over
 
     def permission(self, owned: Owned, now_ms: int) -> Permission:
         """Return what may be ordered of a runner now."""
-        if owned.handing_over or not self.lease.held(now_ms):
+        if owned.handing_over or not self.lease.is_held(now_ms):
             return Permission.NOTHING
         return owned.quarantine.permission(now_ms)
 
@@ -113,7 +113,7 @@
         """
         owned = self.owned_by_runner.get(runner_id)
         terms = active.life.terms
-        if owned is None or owned.handing_over or not self.lease.held(now_ms):
+        if owned is None or owned.handing_over or not self.lease.is_held(now_ms):
             return NotOwner()
         time_left_ms = terms.deadline_ms - now_ms
         refusal = self.admission.check(
--- a/monsoonflow/serving/models.py
+++ b/monsoonflow/serving/models.py
@@ -9,7 +9,7 @@
 import attrs
 
 from ..core.adapter import AdapterRef
-from ..ownership.quarantine import Quarantine
+from ..ownership.takeover_guard import TakeoverGuard
 from ..request.life import RequestLife
 from ..runner.aggregate import Runner
 
@@ -25,7 +25,7 @@
     runner: Runner
     base_model: str
     fence: int
-    quarantine: Quarantine
+    quarantine: TakeoverGuard
     foreign_runs: set[str] = attrs.field(factory=set)
     taken_ms: int = 0
     handing_over: bool = False
--- a/tests/entry/silent_store.py
+++ b/tests/entry/silent_store.py
@@ -14,8 +14,8 @@
 from monsoonflow.entry.beliefs import Beliefs
 from monsoonflow.entry.daemon import SWEEP_EVERY_MS
 from monsoonflow.entry.following import CARD_PREFIX, Followed, Following, encode_card
-from monsoonflow.fleet.models import NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
 from monsoonflow.storage.models import ChangedRow, Changes, Unavailable
@@ -161,11 +161,11 @@
 class Node:
     """A node that follows the store and tells the others."""
 
-    card: NodeCard
+    card: NodeRecord
     tasks: VirtualTasks
     beliefs: Beliefs
     view: FleetView
-    rounds: Rounds
+    rounds: HeartbeatRounds
     followed: Followed | None = None
     following: Following | None = None
     sequence: int = 0
@@ -225,7 +225,7 @@
 
     def add_card(self, name: str) -> bool:
         """Let a node that starts write its card; return whether that is confirmed."""
-        card = NodeCard(name, name, "dc", "1:1", "1:2", "1:3")
+        card = NodeRecord(name, name, "dc", "1:1", "1:2", "1:3")
         return self.store.put(OWN, CARD_PREFIX + name, encode_card(card))
 
     def last_after_ms(self, knows: Callable[[Node], bool], most_ms: int) -> int:
@@ -258,8 +258,8 @@
 
     def _node(self, name: str) -> Node:
         tasks, clock = VirtualTasks(self.world), self.world
-        card = NodeCard(name, name, "dc", name, name, name)
-        node = Node(card, tasks, Beliefs(clock), FleetView(name), Rounds(name))
+        card = NodeRecord(name, name, "dc", name, name, name)
+        node = Node(card, tasks, Beliefs(clock), FleetView(name), HeartbeatRounds(name))
         following = Following(
             RowDecoders(),
             node.beliefs,
@@ -272,7 +272,9 @@
         )
         node.following = following
         node.followed = following.start(lambda: Feed(self.store, tasks), tasks, self.drain_ms)
-        self.world.later(self.rng.uniform(0, EVERY_MS), lambda: self._tell_for_good(node))
+        self.world.later(
+            self.rng.uniform(0, HEARTBEAT_INTERVAL_MS), lambda: self._tell_for_good(node)
+        )
         self.world.later(SWEEP_EVERY_MS, lambda: self._sweep_for_good(node))
         return node
 
@@ -290,31 +292,31 @@
 
     def _tell_for_good(self, node: Node) -> None:
         self._tell(node)
-        self.world.later(EVERY_MS, lambda: self._tell_for_good(node))
+        self.world.later(HEARTBEAT_INTERVAL_MS, lambda: self._tell_for_good(node))
 
     def _tell(self, node: Node, everybody: bool = False) -> None:
         if node.followed is None:
             return
         node.sequence += 1
-        report = NodeReport(
+        report = Heartbeat(
             node.card,
             node.sequence,
             True,
             False,
             1,
             node.followed.reaches_store(),
-            left_servers=node.beliefs.recent_left(),
-            came_servers=node.beliefs.recent_came(),
+            departed_servers=node.beliefs.recent_left(),
+            added_servers=node.beliefs.recent_came(),
             versions=node.beliefs.recent_versions(),
         )
         others = [name for name in self.by_name if name != node.card.name]
         self.told_everybody += everybody
-        for name in others if everybody else node.rounds.next(others, (), False):
+        for name in others if everybody else node.rounds.next_peers(others, (), False):
             if name not in self.mute and self.rng.random() >= self.lost:
                 self.world.later(2, lambda other=self.by_name[name]: self._hear(other, report))
 
-    def _hear(self, node: Node, report: NodeReport) -> None:
-        if not node.view.heard(report, self.world.now_ms()):
+    def _hear(self, node: Node, report: Heartbeat) -> None:
+        if not node.view.receive(report, self.world.now_ms()):
             return
         node.following.take_report(report)
         if node.beliefs.take_report(report):
@@ -339,4 +341,4 @@
 
 def carded(name: str) -> Callable[[Node], bool]:
     """Return what tells whether a node knows another one's card."""
-    return lambda node: name in node.view.card_by_name
+    return lambda node: name in node.view.record_by_name
--- a/tests/entry/test_activity.py
+++ b/tests/entry/test_activity.py
@@ -8,13 +8,13 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.entry.activity import Activity
-from monsoonflow.fleet.models import DutyClaim, NodeCard
+from monsoonflow.fleet.models import CellLeaseClaim, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.routing.budget import MIN_BUSY_REQUESTS, FleetRetryBudget, RetryAllowance
 from monsoonflow.routing.in_flight import InFlight
 
 WINDOW_MS = 10_000
-CARD = NodeCard("n", "b", "dc", "1:1", "1:2", "1:3")
+CARD = NodeRecord("n", "b", "dc", "1:1", "1:2", "1:3")
 
 
 @attrs.define
@@ -43,7 +43,7 @@
         node.view, node.in_flight, budget, node.clock, lambda: node.watches, node.begin
     )
     for number in range(30):
-        node.view.card(attrs.evolve(CARD, name=f"n{number}"))
+        node.view.add_record(attrs.evolve(CARD, name=f"n{number}"))
     assert not node.activity.look()
     return node
 
@@ -79,7 +79,7 @@
     node.watches = True
     assert node.activity.look()
     node.watches = False
-    node.view.claimed(DutyClaim("s", "b", 1, ("c", "a")))
+    node.view.apply_claim(CellLeaseClaim("s", "b", 1, ("c", "a")))
     assert node.activity.look()
 
 
@@ -98,6 +98,6 @@
 def test_in_a_small_fleet_all_are_active():
     view, budget = FleetView("a"), FleetRetryBudget(RetryAllowance(0.2, 10, WINDOW_MS))
     for number in range(6):
-        view.card(attrs.evolve(CARD, name=f"n{number}"))
+        view.add_record(attrs.evolve(CARD, name=f"n{number}"))
     activity = Activity(view, InFlight(), budget, ManualClock(0), lambda: False, lambda: None)
     assert activity.look()
--- a/tests/entry/test_cards.py
+++ b/tests/entry/test_cards.py
@@ -17,7 +17,7 @@
     """
     one, two = fleet.node(), fleet.node()
     name = one.daemon.settings.name
-    wait_for(lambda: two.daemon.view.report_of(name))
+    wait_for(lambda: two.daemon.view.heartbeat_of(name))
     assert two.daemon.view.cores_of(name) == 1.0
     one.daemon._reread = lambda: attrs.evolve(one.daemon.settings, cores=4.0)
     one.daemon.reload()
--- a/tests/entry/test_duty_among_unequal_machines.py
+++ b/tests/entry/test_duty_among_unequal_machines.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from monsoonflow.fleet.models import told_cores
+from monsoonflow.fleet.models import bounded_cores
 from monsoonflow.helpers.hashing import rank
-from monsoonflow.ownership.duty import candidates
+from monsoonflow.ownership.cell_lease import ranked_candidates
 from tests.entry.unequal_fleet import UnequalFleet
 
 FAST, SLOW = 2.15, 0.516
@@ -109,12 +109,12 @@
 
 def test_equal_machines_are_ranked_as_by_hash_alone():
     names = [f"n{i}" for i in range(20)]
-    assert candidates("llm", dict.fromkeys(names, 0.516)) == rank("llm", names)
+    assert ranked_candidates("llm", dict.fromkeys(names, 0.516)) == rank("llm", names)
     near = {name: 1.0 + number / 25 for number, name in enumerate(names)}
-    assert candidates("llm", near) == rank("llm", names)
+    assert ranked_candidates("llm", near) == rank("llm", names)
 
 
 def test_a_wrong_word_about_a_machine_does_not_stop_the_ranking():
-    told = {name: told_cores(value) for name, value in [("a", -1), ("b", 1e300), ("c", "4")]}
-    assert candidates("llm", told)[0] == "b"
-    assert sorted(candidates("llm", told)) == ["a", "b", "c"]
+    told = {name: bounded_cores(value) for name, value in [("a", -1), ("b", 1e300), ("c", "4")]}
+    assert ranked_candidates("llm", told)[0] == "b"
+    assert sorted(ranked_candidates("llm", told)) == ["a", "b", "c"]
--- a/tests/entry/test_duty_without_fences.py
+++ b/tests/entry/test_duty_without_fences.py
@@ -9,9 +9,14 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.entry.lease_loop import DutyLoop
-from monsoonflow.fleet.models import NodeCard, NodeReport
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
-from monsoonflow.ownership.duty import LONE_MS, PROMISE_MS, DutyRow, DutyWatch
+from monsoonflow.ownership.cell_lease import (
+    PROMISE_MS,
+    UNNAMED_CLAIM_DELAY_MS,
+    CellLeaseRow,
+    CellLeaseWatch,
+)
 from monsoonflow.ownership.models import LeaseTiming
 from monsoonflow.storage.models import Unavailable
 from tests.entry.one_row import OneRowTable
@@ -35,14 +40,14 @@
     refused: bool = False
     unanswered: bool = False
 
-    def report(self, now_ms: int) -> NodeReport:
+    def report(self, now_ms: int) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
         claim = self.loop.claim()
         claims = () if claim is None else (claim,)
-        self.view.sent(self.sequence, claims, now_ms)
-        card = NodeCard(self.name, self.boot, "dc", "1:1", "1:2", "1:3")
-        return NodeReport(
+        self.view.record_sent(self.sequence, claims, now_ms)
+        card = NodeRecord(self.name, self.boot, "dc", "1:1", "1:2", "1:3")
+        return Heartbeat(
             card,
             self.sequence,
             not self.leaving,
@@ -50,7 +55,7 @@
             1,
             True,
             claims=claims,
-            heard=self.view.heard_holders(),
+            acks=self.view.holder_acks(),
         )
 
 
@@ -101,7 +106,7 @@
         for node in living:
             for report in reports if not node.deaf else ():
                 if (report.name, node.name) not in self.cut:
-                    node.view.heard(report, now_ms)
+                    node.view.receive(report, now_ms)
 
     def start(self, name: str, boot: str) -> None:
         """Let a node start, with nothing remembered."""
@@ -192,7 +197,7 @@
 def test_a_holder_goes_on_for_a_bounded_time(fleet):
     """A node that nobody named may claim in the end: by then the holder has stopped."""
     lose_store(fleet)
-    fleet.run(LEASE_MS + LONE_MS)
+    fleet.run(LEASE_MS + UNNAMED_CLAIM_DELAY_MS)
     assert fleet.holder() is None
 
 
@@ -209,7 +214,7 @@
     lose_store(fleet)
     old = fleet.nodes["b"]
     fleet.start("b", "boot-b2")
-    assert old.view.claim_heard("llm") is not None
+    assert old.view.received_claim("llm") is not None
     fleet.read("b")
     fleet.nodes["b"].loop.loaded = True
     fleet.table.down = False
@@ -218,19 +223,19 @@
 
 
 def test_a_node_that_was_not_named_waits_for_those_that_were():
-    row = DutyRow("llm", "a", "boot-a", 5, 3, ("b",))
-    watch = DutyWatch(LeaseTiming(1_200, 120), False)
-    watch.seen(row, 10, 1_000)
-    assert watch.claimable("b", "boot-b", 2_400, True, True)
-    assert not watch.claimable("z", "boot-z", 2_400, True, True)
-    assert watch.claimable("z", "boot-z", 2_400 + LONE_MS, True, True)
+    row = CellLeaseRow("llm", "a", "boot-a", 5, 3, ("b",))
+    watch = CellLeaseWatch(LeaseTiming(1_200, 120), False)
+    watch.record_row(row, 10, 1_000)
+    assert watch.may_claim("b", "boot-b", 2_400, True, True)
+    assert not watch.may_claim("z", "boot-z", 2_400, True, True)
+    assert watch.may_claim("z", "boot-z", 2_400 + UNNAMED_CLAIM_DELAY_MS, True, True)
 
 
 def test_a_claimant_that_hears_the_holder_does_not_claim():
-    row = DutyRow("llm", "a", "boot-a", 5, 3, ("b",))
-    watch = DutyWatch(LeaseTiming(1_200, 120), False)
-    watch.seen(row, 10, 1_000)
-    assert not watch.claimable("b", "boot-b", 60_000, holder_silent=False, others_heard=True)
+    row = CellLeaseRow("llm", "a", "boot-a", 5, 3, ("b",))
+    watch = CellLeaseWatch(LeaseTiming(1_200, 120), False)
+    watch.record_row(row, 10, 1_000)
+    assert not watch.may_claim("b", "boot-b", 60_000, is_holder_silent=False, hears_most_peers=True)
 
 
 def test_a_duty_does_not_come_back_within_the_time_of_a_lease():
@@ -238,31 +243,31 @@
 
     Orders of both may be on their way to one runner that tells them apart by nothing.
     """
-    row = DutyRow("llm", "b", "boot-b", 9, 3, ("a",), released=True, before="a")
-    watch = DutyWatch(LeaseTiming(1_200, 120), False, turn_ms=3_000)
-    watch.seen(row, 10, 1_000)
-    assert not watch.claimable("a", "boot-a", 2_000, True, True)
-    assert watch.claimable("c", "boot-c", 2_000, True, True)
-    assert watch.claimable("a", "boot-a", 4_001, True, True)
+    row = CellLeaseRow("llm", "b", "boot-b", 9, 3, ("a",), is_released=True, previous_holder="a")
+    watch = CellLeaseWatch(LeaseTiming(1_200, 120), False, return_delay_ms=3_000)
+    watch.record_row(row, 10, 1_000)
+    assert not watch.may_claim("a", "boot-a", 2_000, True, True)
+    assert watch.may_claim("c", "boot-c", 2_000, True, True)
+    assert watch.may_claim("a", "boot-a", 4_001, True, True)
 
 
 def test_a_lease_counts_from_when_its_holder_told_it():
     """The row is read only when the holder is silent: its lease is older than the reading."""
-    row = DutyRow("llm", "a", "boot-a", 5, 3, ("b",))
-    watch = DutyWatch(LeaseTiming(1_200, 120), False)
-    watch.seen(row, 10, 5_000, told_ms=3_000)
-    assert watch.claimable("b", "boot-b", 5_001, True, True)
+    row = CellLeaseRow("llm", "a", "boot-a", 5, 3, ("b",))
+    watch = CellLeaseWatch(LeaseTiming(1_200, 120), False)
+    watch.record_row(row, 10, 5_000, announced_ms=3_000)
+    assert watch.may_claim("b", "boot-b", 5_001, True, True)
 
 
 def test_who_heard_a_report_without_the_claim_has_promised_nothing(fleet):
     """The holder stopped telling its claim; an answer to such a report gives it no right."""
     view = fleet.nodes["a"].view
     other = fleet.nodes["b"].report(fleet.clock.now_ms())
-    assert view.heard_claim_of_mine_ms("b", "boot-a", "llm") is not None
-    view.sent(999, (), fleet.clock.now_ms())
-    heard = tuple(attrs.evolve(entry, sequence=999) for entry in other.heard)
-    view.heard(attrs.evolve(other, sequence=5_000, heard=heard), fleet.clock.now_ms())
-    assert view.heard_claim_of_mine_ms("b", "boot-a", "llm") is None
+    assert view.acked_claim_sent_ms("b", "boot-a", "llm") is not None
+    view.record_sent(999, (), fleet.clock.now_ms())
+    heard = tuple(attrs.evolve(entry, sequence=999) for entry in other.acks)
+    view.receive(attrs.evolve(other, sequence=5_000, acks=heard), fleet.clock.now_ms())
+    assert view.acked_claim_sent_ms("b", "boot-a", "llm") is None
 
 
 def test_a_released_duty_is_taken_at_once(fleet):
@@ -370,5 +375,5 @@
     fleet.cut.clear()
     fleet.run(500)
     fleet.read(*fleet.nodes)
-    fleet.run(LONE_MS + LEASE_MS + 2_000)
+    fleet.run(UNNAMED_CLAIM_DELAY_MS + LEASE_MS + 2_000)
     assert fleet.holder() is not None
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -10,12 +10,12 @@
 from monsoonflow.discovery.models import BackendServer
 from monsoonflow.entry.beliefs import TELL_MS, Beliefs
 from monsoonflow.entry.following import OWN_PAUSE_MS, SERVER_WATCHERS, WATCHERS, Following
-from monsoonflow.fleet.models import NodeCard, NodeReport
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
 from monsoonflow.storage.models import Changes
 
-CARD = NodeCard("n0", "b", "dc", "1:1", "1:2", "1:3")
+CARD = NodeRecord("n0", "b", "dc", "1:1", "1:2", "1:3")
 SERVER = BackendServer(ServerLife.of("i-1", 5), "s", "10.0.0.1:80", "dc")
 
 
@@ -65,7 +65,7 @@
 def hear(view, count, now_ms):
     for number in range(count):
         card = attrs.evolve(CARD, name=f"n{number}")
-        view.heard(NodeReport(card, 1, True, False, 1, True), now_ms)
+        view.receive(Heartbeat(card, 1, True, False, 1, True), now_ms)
 
 
 def pause(watch):
@@ -116,7 +116,7 @@
     """One node reads that a server came; the others would read it many seconds later."""
     teller, hearer = Beliefs(clock), Beliefs(clock)
     teller.book.put(SERVER, clock.now_ms())
-    report = NodeReport(CARD, 1, True, False, 1, True, came_servers=teller.recent_came())
+    report = Heartbeat(CARD, 1, True, False, 1, True, added_servers=teller.recent_came())
     assert hearer.take_report(report)
     hearer.book.put(SERVER, clock.now_ms())
     assert not hearer.take_report(report)
@@ -129,7 +129,7 @@
 def test_a_server_that_the_store_does_not_hold_is_asked_for_once(clock):
     """A report names a server that nobody knows, five times a second for ten seconds."""
     hearer = Beliefs(clock)
-    report = NodeReport(CARD, 1, True, False, 1, True, came_servers=(SERVER.life,))
+    report = Heartbeat(CARD, 1, True, False, 1, True, added_servers=(SERVER.life,))
     asked = []
     for _ in range(40):
         asked.append(hearer.take_report(report))
@@ -163,5 +163,5 @@
     hear(view, nodes, clock.now_ms())
     for number in range(lost):
         card = attrs.evolve(CARD, name=f"n{number}")
-        following.take_report(NodeReport(card, 2, True, False, 1, store_heard=False))
+        following.take_report(Heartbeat(card, 2, True, False, 1, is_store_reachable=False))
     assert counted.count == doubts
--- a/tests/entry/test_lease_loop.py
+++ b/tests/entry/test_lease_loop.py
@@ -7,17 +7,17 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.entry.lease_loop import DutyLoop
-from monsoonflow.fleet.models import DutyClaim, NodeCard, NodeReport
+from monsoonflow.fleet.models import CellLeaseClaim, Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from tests.entry.one_row import OneRowTable
 
-CARD = NodeCard("b", "b-b", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3")
-REPORT = NodeReport(CARD, 1, True, False, 1, True)
+CARD = NodeRecord("b", "b-b", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3")
+REPORT = Heartbeat(CARD, 1, True, False, 1, True)
 
 
 def report(name, sequence=1):
     """Return a node's report."""
-    return attrs.evolve(REPORT, card=attrs.evolve(CARD, name=name), sequence=sequence)
+    return attrs.evolve(REPORT, record=attrs.evolve(CARD, name=name), sequence=sequence)
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
     def build(name, others=()):
         view = FleetView(name)
         for other in others:
-            view.card(NodeCard(other, "x", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"))
+            view.add_record(NodeRecord(other, "x", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"))
         loop = DutyLoop(
             "llm", name, f"boot-{name}", 3_000, True, table, view, clock, lambda: True, lambda: True
         )
@@ -71,7 +71,7 @@
     holder, _ = make("a", ["b", "c"])
     turn(clock, holder, 300)
     loop, view = make("b", ["a", "c"])
-    view.heard(report("c"), clock.now_ms())
+    view.receive(report("c"), clock.now_ms())
     loop.row_changed(table.row)
     turn(clock, loop, 500)
     assert table.row.value["holder"] == "a"
@@ -92,7 +92,7 @@
     won = []
     again._on_won = lambda: won.append(clock.now_ms())
     for other in others:
-        view.heard(report(other), clock.now_ms())
+        view.receive(report(other), clock.now_ms())
     again.row_changed(table.row)
     began_ms = clock.now_ms()
     turn(clock, again, 1_000)
@@ -104,10 +104,10 @@
     holder, _ = make("a", ["b", "c"])
     turn(clock, holder, 300)
     loop, view = make("b", ["a", "c"])
-    view.heard(report("a"), clock.now_ms())
+    view.receive(report("a"), clock.now_ms())
     loop.row_changed(table.row)
     for sequence in range(2, 14):
-        view.heard(report("c", sequence), clock.now_ms())
+        view.receive(report("c", sequence), clock.now_ms())
         turn(clock, loop, 100)
     assert table.row.value["holder"] == "b"
     assert table.row.value["epoch"] == 5
@@ -126,16 +126,16 @@
 
 def test_an_heir_goes_on_without_the_store_and_claims_anew_after(make, clock, table):
     holder, view_a = make("a", ["b"])
-    view_a.heard(REPORT, clock.now_ms())
+    view_a.receive(REPORT, clock.now_ms())
     turn(clock, holder, 300)
     assert table.row.value["heirs"] == ["b"]
     heir, view_b = make("b", ["a"])
-    view_b.heard(report("a"), clock.now_ms())
+    view_b.receive(report("a"), clock.now_ms())
     heir.row_changed(table.row)
     table.down, heir.store_reached = True, False
     turn(clock, heir, 1_500)
     assert heir.held.row.epoch == 2
-    view_b.heard(report("c"), clock.now_ms())
+    view_b.receive(report("c"), clock.now_ms())
     assert heir.holds(clock.now_ms())
     table.down, heir.store_reached = False, True
     turn(clock, heir, 2_000)
@@ -155,12 +155,12 @@
     Its place stands for an epoch number: two nodes that read different lists would use the same.
     """
     holder, view = make("a", ["b"])
-    view.heard(report("b"), clock.now_ms())
+    view.receive(report("b"), clock.now_ms())
     turn(clock, holder, 1_400)
     assert table.row.value["heirs"] == ["b"]
     for sequence in range(1, 20):
         for name in ("c", "d", "e"):
-            view.heard(report(name, sequence), clock.now_ms())
+            view.receive(report(name, sequence), clock.now_ms())
         turn(clock, holder, 200)
     assert table.row.value["heirs"][0] == "b"
     assert len(table.row.value["heirs"]) == 3
@@ -169,8 +169,8 @@
 def test_an_heir_named_since_the_row_was_read_is_one(make, clock, table):
     """The holder named an heir a moment ago and told it; the heir reads rows seconds later."""
     heir, view = make("b", ["a"])
-    view.heard(report("a"), clock.now_ms())
+    view.receive(report("a"), clock.now_ms())
     heir.store_reached = False
-    view.claimed(DutyClaim("llm", "a", 9, ("b",)))
+    view.apply_claim(CellLeaseClaim("llm", "a", 9, ("b",)))
     turn(clock, heir, 1_500)
     assert heir.held.row.epoch == 10
--- a/tests/entry/test_residency.py
+++ b/tests/entry/test_residency.py
@@ -6,7 +6,7 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.entry.residency import MISSING_MS, Residency
-from monsoonflow.fleet.models import HeldAdapters
+from monsoonflow.fleet.models import ResidentAdapters
 
 LIFE = ServerLife("i-1")
 REF = AdapterRef("m/a1", 2)
@@ -19,7 +19,7 @@
     adapter from the next request, which asked the holder for what was there.
     """
     residency = Residency(ManualClock(0))
-    told = (HeldAdapters(LIFE, ()),)
+    told = (ResidentAdapters(LIFE, ()),)
     residency.take_told("s", told)
     residency.granted(LIFE, REF)
     residency.take_told("s", told)
@@ -29,9 +29,9 @@
 def test_a_newer_word_is_taken():
     clock = ManualClock(0)
     residency = Residency(clock)
-    residency.take_told("s", (HeldAdapters(LIFE, (REF,)),))
+    residency.take_told("s", (ResidentAdapters(LIFE, (REF,)),))
     residency.missing(LIFE, "m/a1")
     clock.advance(MISSING_MS + 1)
     assert residency.holders("m/a1") == {}
-    residency.take_told("s", (HeldAdapters(LIFE, (REF,)),))
+    residency.take_told("s", (ResidentAdapters(LIFE, (REF,)),))
     assert residency.holders("m/a1") == {LIFE: 2}
--- a/tests/entry/test_silent_peers.py
+++ b/tests/entry/test_silent_peers.py
@@ -11,7 +11,7 @@
 from monsoonflow.entry.beliefs import Beliefs
 from monsoonflow.entry.daemon import SWEEP_EVERY_MS
 from monsoonflow.entry.peers import FETCH_TIMEOUT_MS, PeerClient
-from monsoonflow.fleet.models import NodeCard, NodeReport
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
 from monsoonflow.transport.client import Answer
@@ -24,11 +24,11 @@
 SILENT = 4
 
 
-def report(number: int, config_version: int) -> NodeReport:
+def report(number: int, config_version: int) -> Heartbeat:
     """Return the word of a node that has a configuration."""
     name = f"p{number}"
-    card = NodeCard(name, name, "dc", "127.0.0.1:1", f"127.0.0.1:{2 + number}", "127.0.0.1:3")
-    return NodeReport(card, 1, True, False, config_version, True)
+    card = NodeRecord(name, name, "dc", "127.0.0.1:1", f"127.0.0.1:{2 + number}", "127.0.0.1:3")
+    return Heartbeat(card, 1, True, False, config_version, True)
 
 
 def test_settings_are_read_in_time_while_other_nodes_are_silent(fleet):
@@ -46,7 +46,7 @@
 
     daemon.peers.call = silent
     for number in range(SILENT):
-        daemon.view.heard(report(number, 99), daemon.clock.now_ms())
+        daemon.view.receive(report(number, 99), daemon.clock.now_ms())
     gevent.sleep(SWEEP_EVERY_MS / 1000 * 1.5)
     changed = attrs.evolve(daemon.settings, seeds=("127.0.0.9:1",))
     daemon._reread = lambda: changed
@@ -71,7 +71,7 @@
 
     client.call = call
     for number in range(silent + 1):
-        view.heard(report(number, 9), clock.now_ms())
+        view.receive(report(number, 9), clock.now_ms())
         clock.advance(200)
     began_ms, beliefs = clock.now_ms(), Beliefs(clock)
     client.fetch_newer(beliefs)
--- a/tests/entry/test_stopping.py
+++ b/tests/entry/test_stopping.py
@@ -8,7 +8,7 @@
 
 from monsoonflow.entry import stopping
 from monsoonflow.fleet import codec
-from monsoonflow.fleet.models import NodeCard
+from monsoonflow.fleet.models import NodeRecord
 from tests.entry.conftest import wait_for
 
 
@@ -74,13 +74,13 @@
     listener.bind(("127.0.0.1", 0))
     where = f"127.0.0.1:{listener.getsockname()[1]}"
     for number in range(40):
-        daemon.view.card(NodeCard(f"other{number}", "b", "dc", "1:1", "1:2", where))
+        daemon.view.add_record(NodeRecord(f"other{number}", "b", "dc", "1:1", "1:2", where))
     leaving = []
 
     def listen() -> None:
         while True:
             told = codec.decode(listener.recv(60_000))
-            if told.leaving:
+            if told.is_leaving:
                 leaving.append(told.sequence)
 
     listening = gevent.spawn(listen)
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -158,7 +158,7 @@
 
 def test_a_node_cut_off_from_the_store_gets_a_newer_configuration_from_the_others(fleet, one):
     other = fleet.node()
-    wait_for(lambda: other.daemon.view.alive("n1", other.daemon.clock.now_ms()))
+    wait_for(lambda: other.daemon.view.is_alive("n1", other.daemon.clock.now_ms()))
     other.daemon.followed.operator._feed.changes = lambda *_: gevent.sleep(60)
     gevent.sleep(0.1)
     fleet.configure(version=7)
--- a/tests/entry/test_versions.py
+++ b/tests/entry/test_versions.py
@@ -13,14 +13,14 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.entry.beliefs import Beliefs
 from monsoonflow.entry.following import Following
-from monsoonflow.fleet.models import NodeCard, NodeReport
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
 from monsoonflow.storage.models import ChangedRow, Changes, HistoryLost, Unavailable
 from tests.entry.conftest import MODEL
 
 NAME = f"{MODEL}/a1"
-CARD = NodeCard("n0", "b", "dc", "1:1", "1:2", "1:3")
+CARD = NodeRecord("n0", "b", "dc", "1:1", "1:2", "1:3")
 
 
 def row(version: int, row_version: int) -> ChangedRow:
@@ -115,7 +115,7 @@
     teller.take_version(AdapterRef(NAME, 2), "store")
     named_ms = clock.now_ms()
     clock.advance(4_000)
-    report = NodeReport(CARD, 1, True, False, 1, True, versions=teller.recent_versions())
+    report = Heartbeat(CARD, 1, True, False, 1, True, versions=teller.recent_versions())
     hearer.take_report(report)
     assert hearer.passed_by_ms(NAME, 1) == named_ms
 
--- a/tests/entry/test_watchers.py
+++ b/tests/entry/test_watchers.py
@@ -11,8 +11,8 @@
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.entry.beliefs import Beliefs
 from monsoonflow.entry.following import Followed, Following
-from monsoonflow.fleet.models import NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
 from monsoonflow.storage.models import ChangedRow, Changes
@@ -66,10 +66,10 @@
 class Node:
     """A node that follows servers and tells the others."""
 
-    card: NodeCard
+    card: NodeRecord
     beliefs: Beliefs
     view: FleetView
-    rounds: Rounds
+    rounds: HeartbeatRounds
     followed: Followed | None = None
     asks_at_ms: int = 0
     asked_ms: int = 0
@@ -90,8 +90,8 @@
         self.by_name = dict(zip(self.names, self.nodes, strict=True))
 
     def _node(self, name: str) -> Node:
-        card = NodeCard(name, name, "dc", name, name, name)
-        node = Node(card, Beliefs(self.clock), FleetView(name), Rounds(name))
+        card = NodeRecord(name, name, "dc", name, name, name)
+        node = Node(card, Beliefs(self.clock), FleetView(name), HeartbeatRounds(name))
         following = Following(
             RowDecoders(),
             node.beliefs,
@@ -109,21 +109,21 @@
         """Let a node tell some of the others, or all."""
         now_ms = self.clock.now_ms()
         node.sequence += 1
-        report = NodeReport(
+        report = Heartbeat(
             node.card,
             node.sequence,
             True,
             False,
             1,
             True,
-            left_servers=node.beliefs.recent_left(),
-            came_servers=node.beliefs.recent_came(),
+            departed_servers=node.beliefs.recent_left(),
+            added_servers=node.beliefs.recent_came(),
         )
         others = [name for name in self.names if name != node.card.name]
-        told = others if everybody else node.rounds.next(others, (), False)
+        told = others if everybody else node.rounds.next_peers(others, (), False)
         for name in told:
             other = self.by_name[name]
-            heard = other.up and self.rng.random() >= LOST and other.view.heard(report, now_ms)
+            heard = other.up and self.rng.random() >= LOST and other.view.receive(report, now_ms)
             if heard and other.beliefs.take_report(report):
                 poked_ms = max(now_ms, other.asked_ms + LEAST_PAUSE_MS)
                 other.asks_at_ms = min(other.asks_at_ms, poked_ms)
@@ -137,7 +137,7 @@
             for node in self.nodes:
                 if not node.up:
                     continue
-                if now_ms % EVERY_MS == 0:
+                if now_ms % HEARTBEAT_INTERVAL_MS == 0:
                     self.tell(node)
                 pause_ms = node.followed.servers.pause_ms()
                 if now_ms >= min(node.asks_at_ms, node.asked_ms + pause_ms):
--- a/tests/entry/unequal_fleet.py
+++ b/tests/entry/unequal_fleet.py
@@ -9,8 +9,8 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.entry.following import OWN_PAUSE_MS, WATCHERS
 from monsoonflow.entry.lease_loop import DutyLoop
-from monsoonflow.fleet.models import NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.storage.models import Conflict, Unavailable
 from tests.entry.one_row import OneRowTable
@@ -47,10 +47,10 @@
 class Member:
     """One life of a node."""
 
-    card: NodeCard
+    card: NodeRecord
     view: FleetView
     loop: DutyLoop
-    rounds: Rounds
+    rounds: HeartbeatRounds
     started_ms: int
     sequence: int = 0
     leaving: bool = False
@@ -66,13 +66,13 @@
         """Tell whether callers and duties may come."""
         return self.up and not self.leaving and now_ms - self.started_ms >= READY_AFTER_MS
 
-    def report(self, now_ms: int) -> NodeReport:
+    def report(self, now_ms: int) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
         claim = self.loop.claim()
         claims = () if claim is None else (claim,)
-        self.view.sent(self.sequence, claims, now_ms)
-        return NodeReport(
+        self.view.record_sent(self.sequence, claims, now_ms)
+        return Heartbeat(
             self.card,
             self.sequence,
             self.ready(now_ms),
@@ -80,7 +80,7 @@
             1,
             True,
             claims=claims,
-            heard=self.view.heard_holders(),
+            acks=self.view.holder_acks(),
         )
 
 
@@ -145,7 +145,7 @@
             self.rng.shuffle(up)
             for member in up:
                 phase_ms = now_ms - member.started_ms
-                if phase_ms % EVERY_MS < STEP_MS:
+                if phase_ms % HEARTBEAT_INTERVAL_MS < STEP_MS:
                     self._tell(member)
                 if now_ms >= member.read_at_ms:
                     self._read(member, now_ms)
@@ -187,7 +187,11 @@
         boot = f"boot-{name}-{self.lives}"
         view = FleetView(name, cores)
         member = Member(
-            NodeCard(name, boot, "dc", name, name, name, cores), view, None, Rounds(name), now_ms
+            NodeRecord(name, boot, "dc", name, name, name, cores),
+            view,
+            None,
+            HeartbeatRounds(name),
+            now_ms,
         )
         member.loop = DutyLoop(
             CELL,
@@ -207,20 +211,20 @@
         """Let a node read the rows, as it does at leisure; all together ask as often as seven."""
         if self.table.down:
             return
-        heard = len(member.view.reports(now_ms))
+        heard = len(member.view.heartbeats(now_ms))
         member.read_at_ms = now_ms + int(OWN_PAUSE_MS * max(1.0, (heard + 1) / WATCHERS))
         for other in self.members.values():
             if other is not member:
-                member.view.card(other.card)
+                member.view.add_record(other.card)
         if self.table.row is not None:
             member.loop.row_changed(self.table.row)
         member.loop.loaded = True
 
     def _tell(self, member: Member) -> None:
-        others = [name for name in member.view.card_by_name if name != member.name]
+        others = [name for name in member.view.record_by_name if name != member.name]
         now_ms = self.clock.now_ms()
         report = member.report(now_ms)
-        fresh, holds = member.view.duty_names(), member.view.holds_duty()
-        for name in member.rounds.next(others, fresh, holds):
+        fresh, holds = member.view.holder_and_standby_names(), member.view.holds_cell_lease()
+        for name in member.rounds.next_peers(others, fresh, holds):
             if self.members[name].up:
-                self.members[name].view.heard(report, now_ms)
+                self.members[name].view.receive(report, now_ms)
--- a/tests/fleet/retry_fleet.py
+++ b/tests/fleet/retry_fleet.py
@@ -9,9 +9,9 @@
 import attrs
 
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.fleet.gossip import EAGER_MS
-from monsoonflow.fleet.models import NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.gossip import STARTUP_FULL_RATE_MS
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.gateway.budget import SharedRetries
 from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance
@@ -58,11 +58,11 @@
 class _Process:
     """One life of a node's process."""
 
-    card: NodeCard
+    card: NodeRecord
     view: FleetView
     budget: FleetRetryBudget
     retries: SharedRetries
-    rounds: Rounds
+    rounds: HeartbeatRounds
     started_ms: int
     sequence: int = 0
     busy_until_ms: int = 0
@@ -83,7 +83,7 @@
     up_at_ms: int = 0
     frozen_until_ms: int = 0
     side: int = 0
-    inbox: list[tuple[int, NodeReport]] = attrs.Factory(list)
+    inbox: list[tuple[int, Heartbeat]] = attrs.Factory(list)
 
 
 @attrs.define
@@ -110,25 +110,27 @@
         self.rng = random.Random(self.seed)
         for number in range(self.count):
             rate = 0.0 if number < self.idle else self.per_s
-            node = Node(f"n{number}", rate, self.rng.randrange(0, EVERY_MS, STEP_MS))
+            node = Node(f"n{number}", rate, self.rng.randrange(0, HEARTBEAT_INTERVAL_MS, STEP_MS))
             self.nodes.append(node)
             self._start(node)
         for node in self.nodes:
             for other in self.nodes:
-                node.process.view.card(other.process.card)
+                node.process.view.add_record(other.process.card)
 
     def _start(self, node: Node) -> None:
         node.boots += 1
         node.active = False
         name = node.name
-        card = NodeCard(name, f"{name}-{node.boots}", "dc", f"{name}:1", f"{name}:2", f"{name}:3")
+        card = NodeRecord(name, f"{name}-{node.boots}", "dc", f"{name}:1", f"{name}:2", f"{name}:3")
         started_ms = None if node.boots == 1 else self.clock.now_ms()
         view, budget = FleetView(name), FleetRetryBudget(ALLOWANCE, started_ms)
         for other in self.nodes:
             if other.process is not None and other is not node:
-                view.card(other.process.card)
+                view.add_record(other.process.card)
         retries = SharedRetries(budget, view, self.clock, lambda: node.active)
-        node.process = _Process(card, view, budget, retries, Rounds(name), self.clock.now_ms())
+        node.process = _Process(
+            card, view, budget, retries, HeartbeatRounds(name), self.clock.now_ms()
+        )
         node.inbox.clear()
 
     def kill(self, names: Collection[int], back_ms: int = 500) -> None:
@@ -168,8 +170,8 @@
             return
         node.inbox = [entry for entry in node.inbox if entry[0] > now_ms]
         for report in arrived:
-            process.view.heard(report, now_ms)
-        if (now_ms + node.phase_ms) % EVERY_MS == 0:
+            process.view.receive(report, now_ms)
+        if (now_ms + node.phase_ms) % HEARTBEAT_INTERVAL_MS == 0:
             self._tell(node, process, now_ms)
         self._requests(node, process, now_ms)
         self._send(process, now_ms)
@@ -219,21 +221,21 @@
         in_progress = bool(process.waiting) or now_ms < process.busy_until_ms
         active = view.is_small() or in_progress or process.budget.is_busy(now_ms)
         node.active = active
-        report = NodeReport(
+        report = Heartbeat(
             process.card,
             process.sequence,
             True,
             False,
             1,
             True,
-            spent_by_service=process.budget.usage_by_service(now_ms),
-            active=active,
-            retries=process.retries.memory(),
+            retry_usage_by_service=process.budget.usage_by_service(now_ms),
+            is_active=active,
+            retry_history=process.retries.memory(),
         )
         others = {other.name: other for other in self.nodes if other is not node}
-        near = view.active_names() if active else ()
-        idle = not active and now_ms - process.started_ms >= EAGER_MS
-        for name in process.rounds.next(others, (), False, near, idle):
+        near = view.active_peer_names() if active else ()
+        idle = not active and now_ms - process.started_ms >= STARTUP_FULL_RATE_MS
+        for name in process.rounds.next_peers(others, (), False, near, idle):
             other = others[name]
             if other.side != node.side or other.process is None or self.rng.random() < self.lost:
                 continue
--- a/tests/fleet/test_gossip.py
+++ b/tests/fleet/test_gossip.py
@@ -14,13 +14,13 @@
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.fleet import codec
 from monsoonflow.fleet.gossip import Gossip
-from monsoonflow.fleet.models import LifeSign, NodeCard, NodeReport, WorkChange
+from monsoonflow.fleet.models import Heartbeat, NodeRecord, ShortHeartbeat, WorkDelta
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.helpers.gevent_tasks import GeventTasks
 from monsoonflow.transport.sockets import split_address
 from script.ports import free_port
 
-REPORT = NodeReport(NodeCard("n1", "b", "dc", "1:1", "1:2", "1:3"), 1, True, False, 1, True)
+REPORT = Heartbeat(NodeRecord("n1", "b", "dc", "1:1", "1:2", "1:3"), 1, True, False, 1, True)
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
         heard.append,
         GeventTasks(),
         MonotonicClock(),
-        lambda: WorkChange("me", "b", 1, {}),
+        lambda: WorkDelta("me", "b", 1, {}),
     )
     gossip.start()
     yield found
@@ -48,7 +48,7 @@
 def test_a_cut_report_changes_nothing_and_is_logged_once(address, heard, caplog):
     """A datagram is cut on its way, again and again; the next whole one counts."""
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    whole = codec.encode(REPORT)
+    whole = codec.encode_heartbeat(REPORT)
     with caplog.at_level(logging.WARNING):
         for size in (0, 1, 10, len(whole) - 5):
             sender.sendto(whole[:size], split_address(address))
@@ -66,8 +66,8 @@
     ("news", "whole"),
     [
         ({}, False),
-        ({"left_servers": (ServerLife("i-1"),)}, True),
-        ({"came_servers": (ServerLife("i-1"),)}, True),
+        ({"departed_servers": (ServerLife("i-1"),)}, True),
+        ({"added_servers": (ServerLife("i-1"),)}, True),
     ],
 )
 def test_servers_that_come_and_leave_are_told_to_nodes_without_callers(news, whole):
@@ -81,11 +81,11 @@
     listener.settimeout(5)
     where = f"127.0.0.1:{listener.getsockname()[1]}"
     for number in range(30):
-        card = NodeCard(f"n{number}", "b", "dc", "1:1", "1:2", where)
-        view.heard(NodeReport(card, 1, True, False, 1, True, active=False), 0)
-    own = NodeCard("me", "b", "dc", "1:1", "1:2", "127.0.0.1:9")
-    report = NodeReport(own, 1, True, False, 1, True, **news)
-    nothing = WorkChange("me", "b", 1, {})
+        card = NodeRecord(f"n{number}", "b", "dc", "1:1", "1:2", where)
+        view.receive(Heartbeat(card, 1, True, False, 1, True, is_active=False), 0)
+    own = NodeRecord("me", "b", "dc", "1:1", "1:2", "127.0.0.1:9")
+    report = Heartbeat(own, 1, True, False, 1, True, **news)
+    nothing = WorkDelta("me", "b", 1, {})
     gossip = Gossip(
         "127.0.0.1:9",
         view,
@@ -95,11 +95,11 @@
         MonotonicClock(),
         lambda: nothing,
     )
-    gossip.send_now()
+    gossip.send_round()
     told = codec.decode(listener.recv(60_000))
     gossip.close()
     listener.close()
-    assert isinstance(told, NodeReport) == whole
+    assert isinstance(told, Heartbeat) == whole
 
 
 def test_a_node_known_by_a_sign_of_life_only_is_asked_for_its_report(address, heard):
@@ -110,23 +110,26 @@
     sender = green.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sender.bind(("127.0.0.1", 0))
     sender.settimeout(2)
-    sign = LifeSign.of(REPORT, False)
+    sign = ShortHeartbeat.from_heartbeat(REPORT, False)
     for sequence in range(2, 7):
         sender.sendto(
-            codec.encode_sign(attrs.evolve(sign, sequence=sequence)), split_address(address)
+            codec.encode_short_heartbeat(attrs.evolve(sign, sequence=sequence)),
+            split_address(address),
         )
-    assert sender.recv(100) == codec.ASK
+    assert sender.recv(100) == codec.HEARTBEAT_REQUEST
     sender.settimeout(0.2)
     with pytest.raises(TimeoutError):
         sender.recv(100)
     assert heard == []
-    sender.sendto(codec.encode(attrs.evolve(REPORT, sequence=7)), split_address(address))
-    sender.sendto(codec.encode_sign(attrs.evolve(sign, sequence=8)), split_address(address))
+    sender.sendto(codec.encode_heartbeat(attrs.evolve(REPORT, sequence=7)), split_address(address))
+    sender.sendto(
+        codec.encode_short_heartbeat(attrs.evolve(sign, sequence=8)), split_address(address)
+    )
     gevent.sleep(0.1)
     assert [report.sequence for report in heard] == [7, 8]
     sender.settimeout(2)
     for _ in range(5):
-        sender.sendto(codec.ASK, split_address(address))
+        sender.sendto(codec.HEARTBEAT_REQUEST, split_address(address))
     assert codec.decode(sender.recv(60_000)) == REPORT
     sender.settimeout(0.2)
     with pytest.raises(TimeoutError):
--- a/tests/fleet/test_large_fleet.py
+++ b/tests/fleet/test_large_fleet.py
@@ -8,8 +8,8 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.entry.lease_loop import DutyLoop
-from monsoonflow.fleet.models import DutyClaim, HeldAdapters, NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import CellLeaseClaim, Heartbeat, NodeRecord, ResidentAdapters
 from monsoonflow.fleet.view import FleetView
 from tests.entry.one_row import OneRowTable
 
@@ -21,19 +21,19 @@
 class Node:
     """One node with what it knows of the others."""
 
-    card: NodeCard
+    card: NodeRecord
     view: FleetView
     loop: DutyLoop
-    rounds: Rounds
+    rounds: HeartbeatRounds
     sequence: int = 0
     up: bool = True
 
-    def report(self) -> NodeReport:
+    def report(self) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
         claim = self.loop.claim()
         claims = (claim,) if claim is not None else ()
-        return NodeReport(self.card, self.sequence, True, False, 1, True, claims=claims)
+        return Heartbeat(self.card, self.sequence, True, False, 1, True, claims=claims)
 
 
 class Fleet:
@@ -45,7 +45,7 @@
         self.nodes = {f"n{i}": self._node(f"n{i}") for i in range(NODES)}
         for node in self.nodes.values():
             for other in self.nodes.values():
-                node.view.card(other.card)
+                node.view.add_record(other.card)
 
     def _node(self, name: str) -> Node:
         view = FleetView(name)
@@ -62,7 +62,9 @@
             lambda: True,
         )
         loop.loaded = True
-        return Node(NodeCard(name, name, "dc", name, name, name), view, loop, Rounds(name))
+        return Node(
+            NodeRecord(name, name, "dc", name, name, name), view, loop, HeartbeatRounds(name)
+        )
 
     def run(self, for_ms: int) -> None:
         """Let time pass."""
@@ -72,7 +74,7 @@
             now_ms = self.clock.now_ms()
             up = [node for node in self.nodes.values() if node.up]
             for node in up:
-                if now_ms % EVERY_MS == 0:
+                if now_ms % HEARTBEAT_INTERVAL_MS == 0:
                     self._tell(node, now_ms)
                 if self.table.row is not None and now_ms % 1_000 == 0:
                     node.loop.row_changed(self.table.row)
@@ -81,9 +83,11 @@
     def _tell(self, node: Node, now_ms: int) -> None:
         others = [name for name in self.nodes if name != node.card.name]
         report = node.report()
-        for name in node.rounds.next(others, node.view.duty_names(), node.view.holds_duty()):
+        for name in node.rounds.next_peers(
+            others, node.view.holder_and_standby_names(), node.view.holds_cell_lease()
+        ):
             if self.nodes[name].up:
-                self.nodes[name].view.heard(report, now_ms)
+                self.nodes[name].view.receive(report, now_ms)
 
     def holders(self) -> list[str]:
         """Return the nodes that may order."""
@@ -119,7 +123,7 @@
         now_ms = fleet.clock.now_ms()
         for node in fleet.nodes.values():
             others = [name for name in fleet.nodes if name != node.card.name]
-            assert all(node.view.alive(name, now_ms) for name in others)
+            assert all(node.view.is_alive(name, now_ms) for name in others)
 
 
 def test_a_holder_that_dies_is_replaced_as_soon_as_in_a_small_fleet(fleet: Fleet):
@@ -134,17 +138,17 @@
 
 def test_a_node_tells_a_bounded_number_in_each_round():
     names = [f"n{i}" for i in range(1_099)]
-    plain, holder = Rounds("n"), Rounds("n")
-    assert max(len(plain.next(names, names[:4], False)) for _ in range(100)) <= 16
-    assert max(len(holder.next(names, (), True)) for _ in range(20)) <= 100
+    plain, holder = HeartbeatRounds("n"), HeartbeatRounds("n")
+    assert max(len(plain.next_peers(names, names[:4], False)) for _ in range(100)) <= 16
+    assert max(len(holder.next_peers(names, (), True)) for _ in range(20)) <= 100
 
 
 def test_what_runners_hold_is_known_until_it_is_told_again():
     """A holder of many runners tells what they hold once a second, its work each 200 ms."""
     view = FleetView("a")
-    card = NodeCard("b", "b-1", "dc", "b", "b", "b")
-    held = (HeldAdapters(ServerLife("i-1"), ()),)
-    view.heard(NodeReport(card, 1, True, False, 1, True, residency=held), 0)
-    view.heard(NodeReport(card, 2, True, False, 1, True, residency=None), 200)
-    view.claimed(DutyClaim("llm", "b", 1))
+    card = NodeRecord("b", "b-1", "dc", "b", "b", "b")
+    held = (ResidentAdapters(ServerLife("i-1"), ()),)
+    view.receive(Heartbeat(card, 1, True, False, 1, True, residency=held), 0)
+    view.receive(Heartbeat(card, 2, True, False, 1, True, residency=None), 200)
+    view.apply_claim(CellLeaseClaim("llm", "b", 1))
     assert view.residency("llm", 300) == held
--- a/tests/fleet/test_signs.py
+++ b/tests/fleet/test_signs.py
@@ -12,9 +12,15 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.fleet import codec
-from monsoonflow.fleet.gossip import EAGER_MS
-from monsoonflow.fleet.models import DutyClaim, LifeSign, NodeCard, NodeReport, WorkChange
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.gossip import STARTUP_FULL_RATE_MS
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import (
+    CellLeaseClaim,
+    Heartbeat,
+    NodeRecord,
+    ShortHeartbeat,
+    WorkDelta,
+)
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.gateway.budget import SharedRetries
 from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, RetryUsage
@@ -35,9 +41,9 @@
 class Node:
     """One node with what it knows of the others."""
 
-    card: NodeCard
+    card: NodeRecord
     view: FleetView
-    rounds: Rounds
+    rounds: HeartbeatRounds
     active: bool
     phase_ms: int
     budget: FleetRetryBudget
@@ -48,12 +54,12 @@
     sent_bytes: int = 0
     sent: int = 0
 
-    def report(self) -> NodeReport:
+    def report(self) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
         name = self.card.name
         claim = self.view.claim_of("s")
-        return NodeReport(
+        return Heartbeat(
             self.card,
             self.sequence,
             True,
@@ -61,11 +67,11 @@
             1,
             True,
             work_by_server={LIFE: ServerWork(self.requests)} if self.requests else {},
-            spent_by_service={"s": RetryUsage(self.requests, 0)} if self.requests else {},
+            retry_usage_by_service={"s": RetryUsage(self.requests, 0)} if self.requests else {},
             claims=(claim,) if claim is not None and claim.holder == name else (),
             residency=None,
-            active=self.active or name in self.view.duty_names(),
-            retries=self.retries.memory(),
+            is_active=self.active or name in self.view.holder_and_standby_names(),
+            retry_history=self.retries.memory(),
         )
 
 
@@ -79,20 +85,20 @@
         self.by_name = {f"n{i}": self._node(f"n{i}", i < active) for i in range(count)}
         cards = [node.card for node in self.by_name.values()]
         for node in self.by_name.values():
-            node.view.claimed(DutyClaim("s", "n0", 1, ("n1", "n2", "n3")))
+            node.view.apply_claim(CellLeaseClaim("s", "n0", 1, ("n1", "n2", "n3")))
             for card in cards:
-                node.view.card(card)
+                node.view.add_record(card)
 
     def _node(self, name: str, active: bool) -> Node:
-        card = NodeCard(name, f"b-{name}", "dc", f"{name}:1", f"{name}:2", f"{name}:3")
-        phase_ms = self.rng.randrange(0, EVERY_MS, STEP_MS)
+        card = NodeRecord(name, f"b-{name}", "dc", f"{name}:1", f"{name}:2", f"{name}:3")
+        phase_ms = self.rng.randrange(0, HEARTBEAT_INTERVAL_MS, STEP_MS)
         view, budget = FleetView(name), FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
         retries = SharedRetries(budget, view, self.clock, partial(self._is_active, name))
-        return Node(card, view, Rounds(name), active, phase_ms, budget, retries)
+        return Node(card, view, HeartbeatRounds(name), active, phase_ms, budget, retries)
 
     def _is_active(self, name: str) -> bool:
         node = self.by_name[name]
-        return node.active or name in node.view.duty_names()
+        return node.active or name in node.view.holder_and_standby_names()
 
     def run(self, for_ms: int) -> None:
         """Let time pass."""
@@ -101,20 +107,22 @@
             self.clock.advance(STEP_MS)
             now_ms = self.clock.now_ms()
             for node in self.by_name.values():
-                if node.up and (now_ms + node.phase_ms) % EVERY_MS == 0:
+                if node.up and (now_ms + node.phase_ms) % HEARTBEAT_INTERVAL_MS == 0:
                     self._tell(node, now_ms)
 
     def _tell(self, node: Node, now_ms: int) -> None:
         report, view = node.report(), node.view
         others = [name for name in self.by_name if name != node.card.name]
-        active = view.active_names() if report.active else ()
-        idle = not report.active and now_ms - START_MS >= EAGER_MS
-        told = node.rounds.next(others, view.duty_names(), view.holds_duty(), active, idle)
-        whole = set(view.need_whole(told))
-        sign = LifeSign.of(report, False)
+        active = view.active_peer_names() if report.is_active else ()
+        idle = not report.is_active and now_ms - START_MS >= STARTUP_FULL_RATE_MS
+        told = node.rounds.next_peers(
+            others, view.holder_and_standby_names(), view.holds_cell_lease(), active, idle
+        )
+        whole = set(view.full_heartbeat_recipients(told))
+        sign = ShortHeartbeat.from_heartbeat(report, False)
         sizes = (0, 0)
         if self.measures:
-            sizes = len(codec.encode_sign(sign)), len(codec.encode(report))
+            sizes = len(codec.encode_short_heartbeat(sign)), len(codec.encode_heartbeat(report))
         for name in told:
             node.sent += 1
             node.sent_bytes += sizes[name in whole]
@@ -122,9 +130,9 @@
             if not other.up or self.rng.random() < LOST:
                 continue
             if name in whole:
-                other.view.heard(report, now_ms)
+                other.view.receive(report, now_ms)
             else:
-                other.view.heard_sign(sign, now_ms)
+                other.view.receive_short(sign, now_ms)
 
     def active(self) -> list[Node]:
         """Return the nodes with callers."""
@@ -158,7 +166,7 @@
         fleet.run(500)
         now_ms = fleet.clock.now_ms()
         for node in fleet.by_name.values():
-            assert len(node.view.reports(now_ms)) == count - 1
+            assert len(node.view.heartbeats(now_ms)) == count - 1
 
 
 @pytest.mark.parametrize(("count", "active"), [(90, 18), (195, 30)])
@@ -243,18 +251,18 @@
     assert 430 * 0.85 - 40 <= allowed <= 430 * 0.85
 
 
-SIGN = LifeSign(
-    "b", "b-1", 7, True, False, True, False, 12, 3, (DutyClaim("s", "b", 4, ("c",), 9),)
+SIGN = ShortHeartbeat(
+    "b", "b-1", 7, True, False, True, False, 12, 3, (CellLeaseClaim("s", "b", 4, ("c",), 9),)
 )
-CARD = NodeCard("b", "b-1", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3", 2.15)
+CARD = NodeRecord("b", "b-1", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3", 2.15)
 
 
 def test_a_sign_of_life_survives_the_wire():
-    with_card = attrs.evolve(SIGN, card=CARD)
-    spent = attrs.evolve(SIGN, spent_by_service={"s": RetryUsage(9, 2)})
-    held = attrs.evolve(SIGN, quarantined=("f1", "f2"))
-    for sign in (SIGN, with_card, spent, held, attrs.evolve(SIGN, active=True, leaving=True)):
-        assert codec.decode(codec.encode_sign(sign)) == sign
+    with_card = attrs.evolve(SIGN, record=CARD)
+    spent = attrs.evolve(SIGN, retry_usage_by_service={"s": RetryUsage(9, 2)})
+    held = attrs.evolve(SIGN, quarantined_fingerprints=("f1", "f2"))
+    for sign in (SIGN, with_card, spent, held, attrs.evolve(SIGN, is_active=True, is_leaving=True)):
+        assert codec.decode(codec.encode_short_heartbeat(sign)) == sign
 
 
 @pytest.mark.parametrize(
@@ -277,27 +285,27 @@
 
 
 def test_a_cut_sign_is_none():
-    whole = codec.encode_sign(attrs.evolve(SIGN, card=CARD))
+    whole = codec.encode_short_heartbeat(attrs.evolve(SIGN, record=CARD))
     assert all(codec.decode(whole[:size]) is None for size in range(len(whole)))
 
 
 def test_a_sign_of_a_node_that_nobody_knows_changes_nothing():
     view = FleetView("a")
-    assert view.lacks(SIGN)
-    assert view.heard_sign(SIGN, 0) is None
-    assert view.reports(0) == []
-    view.card(attrs.evolve(CARD, boot="b-0"))
-    assert view.lacks(SIGN)
-    view.card(CARD)
-    assert not view.lacks(SIGN)
-    assert view.heard_sign(SIGN, 0).card == CARD
+    assert view.needs_full_heartbeat(SIGN)
+    assert view.receive_short(SIGN, 0) is None
+    assert view.heartbeats(0) == []
+    view.add_record(attrs.evolve(CARD, boot="b-0"))
+    assert view.needs_full_heartbeat(SIGN)
+    view.add_record(CARD)
+    assert not view.needs_full_heartbeat(SIGN)
+    assert view.receive_short(SIGN, 0).record == CARD
 
 
 def test_retries_of_a_node_without_callers_count():
     """Its checks are sent once more now and then: 165 such nodes have some sixty in ten seconds."""
     view = FleetView("a")
-    view.card(CARD)
-    view.heard_sign(attrs.evolve(SIGN, spent_by_service={"s": RetryUsage(9, 2)}), 0)
+    view.add_record(CARD)
+    view.receive_short(attrs.evolve(SIGN, retry_usage_by_service={"s": RetryUsage(9, 2)}), 0)
     budget = FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
     others = SharedRetries(budget, view, ManualClock(100)).others("s")
     assert others.reported == (RetryUsage(9, 2),)
@@ -306,48 +314,48 @@
 
 def test_an_overtaken_sign_is_dropped():
     view = FleetView("a")
-    view.card(CARD)
-    assert view.heard_sign(SIGN, 0) is not None
-    assert view.heard_sign(SIGN, 50) is None
-    older = attrs.evolve(SIGN, sequence=6, ready=False)
-    assert view.heard_sign(older, 60) is None
-    assert view.report_of("b").ready
+    view.add_record(CARD)
+    assert view.receive_short(SIGN, 0) is not None
+    assert view.receive_short(SIGN, 50) is None
+    older = attrs.evolve(SIGN, sequence=6, is_ready=False)
+    assert view.receive_short(older, 60) is None
+    assert view.heartbeat_of("b").is_ready
 
 
 def test_a_restarted_node_has_nothing_of_its_former_life():
     view = FleetView("a")
     work = {LIFE: ServerWork(3)}
-    view.heard(NodeReport(CARD, 9, True, False, 1, True, work_by_server=work), 0)
+    view.receive(Heartbeat(CARD, 9, True, False, 1, True, work_by_server=work), 0)
     card = attrs.evolve(CARD, boot="b-2")
-    view.heard_sign(attrs.evolve(SIGN, boot="b-2", sequence=1, active=True, card=card), 100)
+    view.receive_short(attrs.evolve(SIGN, boot="b-2", sequence=1, is_active=True, record=card), 100)
     assert view.work_at(LIFE, 100).requests == 0
-    assert view.report_of("b").boot == "b-2"
+    assert view.heartbeat_of("b").boot == "b-2"
 
 
 def test_a_change_of_work_replaces_what_it_names():
     """A holder reads a node's whole work each 0.4 s, and its changes within a moment."""
     view, other = FleetView("a"), ServerLife("i-2")
     work = {LIFE: ServerWork(3, 100), other: ServerWork(1)}
-    view.heard(NodeReport(CARD, 9, True, False, 1, True, work_by_server=work), 0)
-    change = WorkChange("b", "b-1", 10, {LIFE: ServerWork(), other: ServerWork(4)})
-    view.heard_change(codec.decode(codec.encode_change(change)), 50)
+    view.receive(Heartbeat(CARD, 9, True, False, 1, True, work_by_server=work), 0)
+    change = WorkDelta("b", "b-1", 10, {LIFE: ServerWork(), other: ServerWork(4)})
+    view.receive_work_delta(codec.decode(codec.encode_work_delta(change)), 50)
     assert view.work_at(LIFE, 50).requests == 0
     assert view.work_at(other, 50).requests == 4
-    assert view.report_of("b").work_by_server == {other: ServerWork(4)}
+    assert view.heartbeat_of("b").work_by_server == {other: ServerWork(4)}
 
 
 def test_a_change_that_was_overtaken_or_belongs_to_another_life_changes_nothing():
     view = FleetView("a")
     work = {LIFE: ServerWork(3)}
-    report = NodeReport(CARD, 9, True, False, 1, True, work_by_server=work)
-    view.heard_change(WorkChange("b", "b-1", 8, {LIFE: ServerWork(1)}), 0)
+    report = Heartbeat(CARD, 9, True, False, 1, True, work_by_server=work)
+    view.receive_work_delta(WorkDelta("b", "b-1", 8, {LIFE: ServerWork(1)}), 0)
     assert view.work_at(LIFE, 0).requests == 0
-    view.heard(report, 0)
-    view.heard_change(WorkChange("b", "b-1", 9, {LIFE: ServerWork(1)}), 10)
-    view.heard_change(WorkChange("b", "b-0", 12, {LIFE: ServerWork(1)}), 10)
+    view.receive(report, 0)
+    view.receive_work_delta(WorkDelta("b", "b-1", 9, {LIFE: ServerWork(1)}), 10)
+    view.receive_work_delta(WorkDelta("b", "b-0", 12, {LIFE: ServerWork(1)}), 10)
     assert view.work_at(LIFE, 10).requests == 3
-    view.heard_change(WorkChange("b", "b-1", 12, {LIFE: ServerWork(1)}), 20)
-    assert not view.heard(attrs.evolve(report, sequence=11), 30)
+    view.receive_work_delta(WorkDelta("b", "b-1", 12, {LIFE: ServerWork(1)}), 20)
+    assert not view.receive(attrs.evolve(report, sequence=11), 30)
     assert view.work_at(LIFE, 30).requests == 1
 
 
@@ -364,13 +372,13 @@
         work[life] = ServerWork(rng.randrange(3), rng.randrange(100))
         if rng.random() < 0.3:
             told = {life: at for life, at in work.items() if not at.is_empty()}
-            view.heard(NodeReport(card, step + 1, True, False, 1, True, work_by_server=told), step)
+            view.receive(Heartbeat(card, step + 1, True, False, 1, True, work_by_server=told), step)
         elif rng.random() < 0.8:
-            view.heard_change(WorkChange(name, "b-1", step + 1, {life: work[life]}), step)
+            view.receive_work_delta(WorkDelta(name, "b-1", step + 1, {life: work[life]}), step)
     for name, work in work_by_node.items():
         told = {life: at for life, at in work.items() if not at.is_empty()}
         card = attrs.evolve(CARD, name=name)
-        view.heard(NodeReport(card, 1_000, True, False, 1, True, work_by_server=told), 500)
+        view.receive(Heartbeat(card, 1_000, True, False, 1, True, work_by_server=told), 500)
     for life in lives:
         want = sum(work.get(life, ServerWork()).requests for work in work_by_node.values())
         assert view.work_at(life, 500).requests == want
--- a/tests/fleet/test_work_sum.py
+++ b/tests/fleet/test_work_sum.py
@@ -12,9 +12,9 @@
 
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.fleet import codec
-from monsoonflow.fleet.models import NodeCard, NodeReport
-from monsoonflow.fleet.view import WORK_FADES_MS, FleetView
-from monsoonflow.fleet.work_sum import WorkSum
+from monsoonflow.fleet.models import Heartbeat, NodeRecord
+from monsoonflow.fleet.view import MIN_WORK_EXPIRY_MS, FleetView
+from monsoonflow.fleet.work_totals import WorkTotals
 from monsoonflow.routing.in_flight import ServerWork, sum_work
 
 SERVERS = 12
@@ -40,7 +40,7 @@
 def _expected(view: FleetView, now_ms: int) -> dict[str, tuple]:
     """Return the sum over the newest reports of all who were heard lately."""
     total: dict[str, ServerWork] = {}
-    for report in view.reports(now_ms, WORK_FADES_MS):
+    for report in view.heartbeats(now_ms, MIN_WORK_EXPIRY_MS):
         for life, work in report.work_by_server.items():
             total.setdefault(life, ServerWork()).add(work)
     return {life: _told(work) for life, work in total.items()}
@@ -52,11 +52,11 @@
     boot: int = 1
     sequence: int = 0
 
-    def report(self, rng: random.Random) -> NodeReport:
+    def report(self, rng: random.Random) -> Heartbeat:
         self.sequence += 1
-        card = NodeCard(self.name, f"b{self.boot}", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3")
+        card = NodeRecord(self.name, f"b{self.boot}", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3")
         work = _work(rng)
-        return NodeReport(card, self.sequence, True, False, 1, True, work_by_server=work)
+        return Heartbeat(card, self.sequence, True, False, 1, True, work_by_server=work)
 
     def start_again(self) -> None:
         self.boot += 1
@@ -79,18 +79,18 @@
         node = rng.choice(known[: max(3, rng.randint(1, nodes))])
         draw = rng.random()
         if draw < 0.02:
-            view.refused(node.name)
+            view.mark_refused(node.name)
         elif draw < 0.04:
             node.start_again()
         elif draw < 0.05:
-            view.card_gone(node.name)
+            view.remove_record(node.name)
             view.forget_silent(now_ms, rng.choice((1_000, 3_000, 6_000)))
         elif draw < 0.08:
             late = node.report(rng)
-            view.heard(node.report(rng), now_ms)
-            assert not view.heard(late, now_ms)
+            view.receive(node.report(rng), now_ms)
+            assert not view.receive(late, now_ms)
         else:
-            view.heard(node.report(rng), now_ms)
+            view.receive(node.report(rng), now_ms)
         total = view.work_by_server(now_ms)
         assert {life: _told(work) for life, work in total.items()} == _expected(view, now_ms)
 
@@ -114,7 +114,7 @@
     Taken into the running total it would end the task that takes all reports: the node would hear
     nobody from then on.
     """
-    data = codec.encode(_Node("n1").report(random.Random(1)))
+    data = codec.encode_heartbeat(_Node("n1").report(random.Random(1)))
     fields = orjson.loads(zlib.decompress(data))
     assert codec.decode(zlib.compress(orjson.dumps(fields))) is not None
     fields[5] = {"i-1": told}
@@ -123,10 +123,10 @@
 
 def test_a_share_without_work_is_dropped_like_any_other():
     """A node tells a server with nothing in progress; who else had work there is dropped first."""
-    total = WorkSum()
+    total = WorkTotals()
     life = ServerLife("i-1")
-    total.take("a", {life: ServerWork()}, 0)
-    total.take("b", {life: ServerWork(1, 10)}, 0)
+    total.replace("a", {life: ServerWork()}, 0)
+    total.replace("b", {life: ServerWork(1, 10)}, 0)
     total.drop("b")
-    total.take("a", {}, 5)
+    total.replace("a", {}, 5)
     assert total.by_server == {}
