--- a/tests/gateway/crowd.py
+++ b/tests/gateway/crowd.py
@@ -12,8 +12,8 @@
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.discovery.models import BackendServer, HeldModel
 from monsoonflow.discovery.registry import ServerRegistry
-from monsoonflow.fleet.models import DutyClaim, NodeCard, NodeReport
-from monsoonflow.fleet.rounds import EVERY_MS, Rounds
+from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
+from monsoonflow.fleet.models import CellLeaseClaim, Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.gateway.backlog import Backlog
 from monsoonflow.gateway.engines import EngineChooser
@@ -85,33 +85,37 @@
 class Node:
     """One entry node."""
 
-    card: NodeCard
+    card: NodeRecord
     view: FleetView
     in_flight: InFlight
     backlog: Backlog
     chooser: EngineChooser
-    rounds: Rounds
+    rounds: HeartbeatRounds
     sequence: int = 0
 
-    def report(self, now_ms: int) -> NodeReport:
+    def report(self, now_ms: int) -> Heartbeat:
         """Return its word about itself, as it would arrive: a copy."""
         self.sequence += 1
         work = {}
         for life, at in self.in_flight.work_by_server.items():
             work[life] = ServerWork()
             work[life].add(at)
-        report = NodeReport(self.card, self.sequence, True, False, 1, True, work_by_server=work)
+        report = Heartbeat(self.card, self.sequence, True, False, 1, True, work_by_server=work)
         return self._as_holder(report, now_ms) if self.card.name == HOLDER else report
 
-    def _as_holder(self, report: NodeReport, now_ms: int) -> NodeReport:
+    def _as_holder(self, report: Heartbeat, now_ms: int) -> Heartbeat:
         """Return a report with what the holder of the runners' duty tells beside."""
-        claim = DutyClaim("s", HOLDER, 1)
-        self.view.claimed(claim)
+        claim = CellLeaseClaim("s", HOLDER, 1)
+        self.view.apply_claim(claim)
         total = dict(report.work_by_server)
-        for life in {life for r in self.view.reports(now_ms, 2_000) for life in r.work_by_server}:
+        for life in {
+            life for r in self.view.heartbeats(now_ms, 2_000) for life in r.work_by_server
+        }:
             total[life] = self.backlog.work_at(life, "s", now_ms)
         pace = self.backlog.pace.tokens_per_ms(None, now_ms)
-        return attrs.evolve(report, claims=(claim,), crowded=overloaded_runners(total, pace))
+        return attrs.evolve(
+            report, claims=(claim,), overloaded_runners=overloaded_runners(total, pace)
+        )
 
 
 @attrs.define
@@ -145,7 +149,7 @@
         self.nodes = [self._node(f"n{i}", book) for i in range(self.node_count)]
         for node in self.nodes:
             for other in self.nodes:
-                node.view.card(other.card)
+                node.view.add_record(other.card)
 
     def _node(self, name: str, book: ServerRegistry) -> Node:
         view, in_flight = FleetView(name), InFlight()
@@ -153,8 +157,8 @@
         chooser = EngineChooser(
             book, backlog, HealthTracker(), self.placement, self.clock, self.rng, "dc"
         )
-        card = NodeCard(name, "b", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3")
-        return Node(card, view, in_flight, backlog, chooser, Rounds(name))
+        card = NodeRecord(name, "b", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3")
+        return Node(card, view, in_flight, backlog, chooser, HeartbeatRounds(name))
 
     def arrive(self, node: Node, adapter: str, route: Route = ROUTE) -> Chosen | NoServer:
         """Let one request come to a node."""
@@ -190,7 +194,7 @@
             self.clock.advance(STEP_MS)
             now_ms = self.clock.now_ms()
             for number, node in enumerate(self.nodes):
-                if (now_ms + number * 70) % EVERY_MS < STEP_MS:
+                if (now_ms + number * 70) % HEARTBEAT_INTERVAL_MS < STEP_MS:
                     self._tell(node, now_ms)
             each_step(now_ms)
             for life in self.lives:
@@ -199,8 +203,8 @@
     def _tell(self, node: Node, now_ms: int) -> None:
         report = node.report(now_ms)
         by_name = {other.card.name: other for other in self.nodes if other is not node}
-        for name in node.rounds.next(by_name, {HOLDER}, node.card.name == HOLDER):
-            by_name[name].view.heard(report, now_ms)
+        for name in node.rounds.next_peers(by_name, {HOLDER}, node.card.name == HOLDER):
+            by_name[name].view.receive(report, now_ms)
 
     def _read(self, life: ServerLife, now_ms: int) -> None:
         queue = self.queues[life]
--- a/tests/ownership/test_lease.py
+++ b/tests/ownership/test_lease.py
@@ -6,7 +6,7 @@
 
 from monsoonflow.ownership.lease import HeldLease, LeaseWatch
 from monsoonflow.ownership.models import LeaseTiming
-from monsoonflow.ownership.quarantine import Quarantine
+from monsoonflow.ownership.takeover_guard import TakeoverGuard
 from monsoonflow.runner.const import Permission
 
 TIMING = LeaseTiming(3_000, 500)
@@ -15,7 +15,7 @@
 @pytest.fixture
 def lease():
     held = HeldLease(TIMING, max_outage_ms=60_000)
-    assert held.renewed(sent_ms=0, now_ms=40)
+    assert held.record_renewal(sent_ms=0, now_ms=40)
     return held
 
 
@@ -25,8 +25,8 @@
 
 
 def test_validity_counts_from_before_the_renewal_was_sent(lease):
-    assert lease.held(2_499)
-    assert not lease.held(2_500)
+    assert lease.is_held(2_499)
+    assert not lease.is_held(2_500)
 
 
 def test_late_answer_does_not_revive_a_lapsed_lease(lease):
@@ -35,23 +35,23 @@
     Meanwhile a successor may have claimed. Taking the answer would make two owners, and one would
     evict adapters that the other's requests run on.
     """
-    assert not lease.renewed(sent_ms=2_000, now_ms=2_700)
-    assert not lease.held(2_700)
-    assert not lease.renewed(sent_ms=2_750, now_ms=2_760)
+    assert not lease.record_renewal(sent_ms=2_000, now_ms=2_700)
+    assert not lease.is_held(2_700)
+    assert not lease.record_renewal(sent_ms=2_750, now_ms=2_760)
 
 
 def test_answer_older_than_the_lease_adds_nothing(lease):
-    assert lease.renewed(sent_ms=2_000, now_ms=2_100)
-    assert lease.renewed(sent_ms=1_000, now_ms=2_200)
-    assert lease.held(4_499)
+    assert lease.record_renewal(sent_ms=2_000, now_ms=2_100)
+    assert lease.record_renewal(sent_ms=1_000, now_ms=2_200)
+    assert lease.is_held(4_499)
 
 
 def test_promises_of_all_successors_carry_the_lease(lease):
-    lease.promised("s1", asked_ms=2_000, for_ms=3_000)
-    lease.promised("s2", asked_ms=2_100, for_ms=3_000)
+    lease.record_promise("s1", requested_ms=2_000, for_ms=3_000)
+    lease.record_promise("s2", requested_ms=2_100, for_ms=3_000)
     assert lease.extend_by_promises(("s1", "s2"), 2_200)
-    assert lease.held(4_400)
-    assert not lease.held(4_500)
+    assert lease.is_held(4_400)
+    assert not lease.is_held(4_500)
 
 
 def test_one_missing_promise_carries_nothing(lease):
@@ -59,24 +59,24 @@
 
     The silent one may have claimed just before; the holder must stop when its own time is up.
     """
-    lease.promised("s1", asked_ms=2_000, for_ms=3_000)
+    lease.record_promise("s1", requested_ms=2_000, for_ms=3_000)
     lease.extend_by_promises(("s1", "s2"), 2_200)
-    assert not lease.held(2_500)
+    assert not lease.is_held(2_500)
 
 
 def test_promises_end_with_the_longest_outage(lease):
     for now_ms in range(2_000, 70_000, 1_000):
-        if not lease.held(now_ms):
+        if not lease.is_held(now_ms):
             break
-        lease.promised("s1", now_ms, 3_000)
+        lease.record_promise("s1", now_ms, 3_000)
         lease.extend_by_promises(("s1",), now_ms)
     assert 59_000 <= now_ms <= 60_000
 
 
 def test_claimant_waits_longer_than_the_holder(watch):
-    watch.seen("n1.1", 5, read_ms=100)
-    assert not watch.lapsed("n1.1", True, last_read_ms=3_600, now_ms=3_600)
-    assert watch.lapsed("n1.1", True, last_read_ms=3_601, now_ms=3_601)
+    watch.record_row("n1.1", 5, read_ms=100)
+    assert not watch.has_lapsed("n1.1", True, last_read_ms=3_600, now_ms=3_600)
+    assert watch.has_lapsed("n1.1", True, last_read_ms=3_601, now_ms=3_601)
 
 
 def test_silence_counts_only_up_to_the_last_read(watch):
@@ -85,21 +85,21 @@
     Time in which the row was not read says nothing of the holder; counting it would let every node
     claim from every other as soon as the table is back.
     """
-    watch.seen("n1.1", 5, read_ms=100)
-    assert not watch.lapsed("n1.1", True, last_read_ms=200, now_ms=90_000)
+    watch.record_row("n1.1", 5, read_ms=100)
+    assert not watch.has_lapsed("n1.1", True, last_read_ms=200, now_ms=90_000)
 
 
 def test_unnamed_node_waits_out_the_longest_outage(watch):
-    watch.seen("n1.1", 5, read_ms=0)
-    assert not watch.lapsed("n1.1", False, 60_000, 60_000)
-    assert watch.lapsed("n1.1", False, 63_600, 63_600)
+    watch.record_row("n1.1", 5, read_ms=0)
+    assert not watch.has_lapsed("n1.1", False, 60_000, 60_000)
+    assert watch.has_lapsed("n1.1", False, 63_600, 63_600)
 
 
 def test_promise_holds_back_a_claim(watch):
-    watch.seen("n1.1", 5, read_ms=0)
+    watch.record_row("n1.1", 5, read_ms=0)
     assert watch.promise("n1.1", 3_000, now_ms=3_000)
-    assert not watch.lapsed("n1.1", True, 5_000, 5_000)
-    assert watch.lapsed("n1.1", True, 6_001, 6_001)
+    assert not watch.has_lapsed("n1.1", True, 5_000, 5_000)
+    assert watch.has_lapsed("n1.1", True, 6_001, 6_001)
 
 
 def test_no_promise_once_claiming(watch):
@@ -107,10 +107,10 @@
 
     The claim may already be in the table; a promise now would let both own the runner.
     """
-    watch.seen("n1.1", 5, read_ms=0)
+    watch.record_row("n1.1", 5, read_ms=0)
     watch.begin_claim("n1.1")
     assert not watch.promise("n1.1", 3_000, now_ms=4_000)
-    watch.seen("n1.1", 6, read_ms=4_100)
+    watch.record_row("n1.1", 6, read_ms=4_100)
     assert watch.promise("n1.1", 3_000, now_ms=4_200)
 
 
@@ -121,11 +121,11 @@
     """
     for effect_delay in range(0, 4_000, 250):
         lease, watch = HeldLease(TIMING), LeaseWatch(TIMING)
-        lease.renewed(0, 0)
-        watch.seen("n1.1", 1, read_ms=effect_delay)
+        lease.record_renewal(0, 0)
+        watch.record_row("n1.1", 1, read_ms=effect_delay)
         for now_ms in range(effect_delay, 9_000, 50):
-            if watch.lapsed("n1.1", True, now_ms, now_ms):
-                assert not lease.held(now_ms)
+            if watch.has_lapsed("n1.1", True, now_ms, now_ms):
+                assert not lease.is_held(now_ms)
 
 
 @pytest.mark.parametrize(
@@ -138,4 +138,4 @@
     ],
 )
 def test_quarantine(checks, fenced, now_ms, expected):
-    assert Quarantine(checks, 10_000, fenced).permission(now_ms) is expected
+    assert TakeoverGuard(checks, 10_000, fenced).permission(now_ms) is expected
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -14,8 +14,8 @@
 from monsoonflow.discovery.models import BackendServer
 from monsoonflow.entry.following import decode_card, encode_card
 from monsoonflow.entry.lease_loop import to_duty
-from monsoonflow.fleet.models import NodeCard
-from monsoonflow.ownership.duty import DutyRow
+from monsoonflow.fleet.models import NodeRecord
+from monsoonflow.ownership.cell_lease import CellLeaseRow
 from monsoonflow.platform.configuration import decode_adapter_version, decode_routes
 from monsoonflow.platform.servers import decode_server
 from monsoonflow.routing.routes import RouteTable
@@ -147,8 +147,8 @@
     assert isinstance(decode_server("i-1", body), str | BackendServer)
     assert isinstance(decode_routes(body), str | RouteTable)
     assert isinstance(decode_adapter_version(body), str) or body
-    assert isinstance(decode_card(body), str | NodeCard)
-    assert to_duty("c", body) is None or isinstance(to_duty("c", body), DutyRow)
+    assert isinstance(decode_card(body), str | NodeRecord)
+    assert to_duty("c", body) is None or isinstance(to_duty("c", body), CellLeaseRow)
 
 
 def paths(value: Any, at: tuple = ()) -> list[tuple]:
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize("changes", [{"peer": 5}, {"name": None}, {"callers": ["10.0.0.1:1"]}])
 def test_a_spoilt_card_names_no_node(changes):
     good = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
-    assert isinstance(decode_card(orjson.dumps(good)), NodeCard)
+    assert isinstance(decode_card(orjson.dumps(good)), NodeRecord)
     assert isinstance(decode_card(orjson.dumps({**good, **changes})), str)
 
 
@@ -224,5 +224,5 @@
 
 
 def test_a_card_survives_its_row():
-    card = NodeCard("n", "b", "dc", "1:1", "1:2", "1:3", 2.151)
+    card = NodeRecord("n", "b", "dc", "1:1", "1:2", "1:3", 2.151)
     assert decode_card(orjson.dumps(encode_card(card))) == card
--- a/tests/randomised/without.py
+++ b/tests/randomised/without.py
@@ -19,7 +19,7 @@
 from monsoonflow.node.lease_loop import LeaseLoop
 from monsoonflow.orders.models import Unanswered
 from monsoonflow.ownership.lease import HeldLease
-from monsoonflow.ownership.quarantine import Quarantine
+from monsoonflow.ownership.takeover_guard import TakeoverGuard
 from monsoonflow.placement.idle_slots import IdleSlots
 from monsoonflow.placement.model_load_limit import ModelLoadLimit
 from monsoonflow.placement.scheduler import AdapterScheduler
@@ -56,7 +56,7 @@
 
 def lease() -> None:
     """Act as owner whatever the lease and newer rows say, without a look before sends."""
-    replace(HeldLease, "held", lambda self, _now_ms: self._valid_until_ms is not None)
+    replace(HeldLease, "is_held", lambda self, _now_ms: self._valid_until_ms is not None)
     replace(LeaseLoop, "_drop_lost", lambda _self: None)
     send_check()
     quarantine()
@@ -69,7 +69,7 @@
 
 def quarantine() -> None:
     """Evict at once after a takeover, whoever may still be sending."""
-    replace(Quarantine, "permission", lambda _self, _now_ms: Permission.ALL)
+    replace(TakeoverGuard, "permission", lambda _self, _now_ms: Permission.ALL)
 
 
 def adopted_runs() -> None:
