--- a/monsoonflow/node/heartbeat.py
+++ b/monsoonflow/node/heartbeat.py
@@ -77,7 +77,7 @@
         report = pb.NodeReport(
             node=context.settings["node"],
             incarnation=context.me.incarnation,
-            is_leaving=context.stopping,
+            leaving=context.stopping,
             config_version=context.config.version if context.config_loaded else 0,
             runners_in_use=self._spread.own_counts(),
         )
