--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -19,19 +19,19 @@
 from ..fleet.models import Heartbeat, NodeRecord, WorkDelta
 from ..fleet.view import FleetView
 from ..gateway.backlog import Backlog
-from ..gateway.budget import SharedRetries
-from ..gateway.engines import EngineChooser
+from ..gateway.budget import SharedRetryBudget
 from ..gateway.handler import Gateway
 from ..gateway.models import Dialect
-from ..gateway.plain import PlainChooser
-from ..gateway.record import Record
+from ..gateway.plain_server_chooser import PlainServerChooser
+from ..gateway.request_log import RequestLog
+from ..gateway.runner_chooser import RunnerChooser
 from ..helpers.gevent_tasks import GeventTasks
 from ..helpers.ids import new_id
 from ..helpers.settings import SettingError
 from ..logs import events, log
 from ..orders.models import RunnerControl
-from ..quarantine.ended import ServerEnds
-from ..quarantine.keeper import QuarantineKeeper
+from ..quarantine.crash_probe import CrashProbe
+from ..quarantine.manager import QuarantineManager
 from ..routing.budget import FleetRetryBudget, RetryAllowance
 from ..routing.health import HealthTracker
 from ..routing.in_flight import InFlight
@@ -136,7 +136,7 @@
             RetryAllowance(bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window_ms),
             None if settings.first_start else self.clock.now_ms(),
         )
-        self.retries = SharedRetries(
+        self.retries = SharedRetryBudget(
             self.budget, self.view, self.clock, lambda: self.activity.active
         )
         self.table = SettlingTable(outside.raw_table(), self.tasks)
@@ -149,9 +149,9 @@
             self.clock,
             self._work_change,
         )
-        self.quarantine = QuarantineKeeper(
+        self.quarantine = QuarantineManager(
             settings.name,
-            ServerEnds(self.pools, self.clock),
+            CrashProbe(self.pools, self.clock),
             self.table,
             self.tasks,
             self.clock,
@@ -276,9 +276,9 @@
             overloaded_runners=self.duties.crowded(),
             lag_ms=round(self.pulse.lag_ms),
             is_active=self.activity.look(),
-            retry_history=self.retries.memory(),
-            crashes=self.quarantine.own_endings(),
-            quarantined_fingerprints=self.quarantine.told_quarantined(),
+            retry_history=self.retries.retry_history(),
+            crashes=self.quarantine.own_crashes(),
+            quarantined_fingerprints=self.quarantine.announced_quarantined(),
         )
 
     def _work_change(self) -> WorkDelta:
@@ -292,12 +292,14 @@
             self.followed.servers.poke()
 
     def _own_row(self, row: ChangedRow) -> None:
-        if not self.quarantine.take_row(row):
+        if not self.quarantine.apply_row(row):
             self.duties.own_row(row)
 
     def _take_report(self, report: Heartbeat) -> None:
         self.following.take_report(report)
-        self.quarantine.take_told(report.name, report.crashes, report.quarantined_fingerprints)
+        self.quarantine.apply_announced(
+            report.name, report.crashes, report.quarantined_fingerprints
+        )
         if self.beliefs.take_report(report) and self.followed is not None:
             self.followed.servers.poke()
 
@@ -375,10 +377,10 @@
         self._outside = outside
         settings = self.settings
         book, conditions = self.beliefs.book, self.conditions
-        plain = PlainChooser(
+        plain = PlainServerChooser(
             book, self.in_flight, self.view, conditions, self.rng, settings.data_centre
         )
-        engines = EngineChooser(
+        engines = RunnerChooser(
             book,
             self.backlog,
             conditions,
@@ -399,7 +401,7 @@
             plain,
             engines,
             self.rng,
-            Record(self.clock, self.metrics, lambda: self._answer_age_ms("servers")),
+            RequestLog(self.clock, self.metrics, lambda: self._answer_age_ms("servers")),
         )
         self.addresses = AddressBook(
             self.view,
--- a/monsoonflow/entry/duties.py
+++ b/monsoonflow/entry/duties.py
@@ -186,7 +186,7 @@
         if all(duty.desk is None for duty in self._duty_by_cell.values()):
             return None
         now_ms = self._daemon.clock.now_ms()
-        pace = self._daemon.backlog.pace.tokens_per_ms(None, now_ms)
+        pace = self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms)
         return overloaded_runners(self._planned_work, pace)
 
     def doubt(self, life: ServerLife, adapter: str) -> None:
--- a/monsoonflow/entry/metrics.py
+++ b/monsoonflow/entry/metrics.py
@@ -59,25 +59,31 @@
         self.resumes = self._counter("resumes", "Streams that went on at another server.")
         self.log_lines_dropped = self._counter("log_lines_dropped", "Log lines never written.")
 
-    def ended(
-        self, kind: str, priority: int, outcome: str, objective: str, first_ms: int | None, ms: int
+    def count_request(
+        self,
+        kind: str,
+        priority: int,
+        outcome: str,
+        objective: str,
+        first_ms: int | None,
+        took_ms: int,
     ) -> None:
         """Count a request's end."""
         self.requests.labels(kind, str(priority), outcome).inc()
         self.objectives.labels(kind, str(priority), objective).inc()
         if first_ms is not None:
             self.first_answer.labels(kind).observe(first_ms / 1000)
-            self.whole_answer.labels(kind).observe(ms / 1000)
+            self.whole_answer.labels(kind).observe(took_ms / 1000)
 
-    def tried(self, result: str) -> None:
+    def count_attempt(self, result: str) -> None:
         """Count a try at a server."""
         self.tries.labels(result).inc()
 
-    def again(self, allowed: bool) -> None:
+    def count_retry(self, allowed: bool) -> None:
         """Count a wish to try again."""
         self.retries.labels("yes" if allowed else "no").inc()
 
-    def resumed(self) -> None:
+    def count_resume(self) -> None:
         """Count a stream that goes on elsewhere."""
         self.resumes.inc()
 
--- a/monsoonflow/entry/placing.py
+++ b/monsoonflow/entry/placing.py
@@ -59,7 +59,7 @@
     def __init__(self, daemon: EntryDaemon) -> None:
         self._daemon = daemon
 
-    def holders(self, adapter: str) -> dict[str, int]:
+    def runners_with_adapter(self, adapter: str) -> dict[str, int]:
         """Return the version of an adapter by the runner that can serve it now."""
         held = self._held(adapter)
         wanted = self.wanted_version(adapter)
@@ -94,7 +94,7 @@
         """Return the version that the operator named; ``None`` where none was."""
         return self._daemon.beliefs.version_by_adapter.get(adapter)
 
-    def begins_until_ms(self, adapter: str, version: int) -> int | None:
+    def start_deadline_ms(self, adapter: str, version: int) -> int | None:
         """Return until when a request may begin on a version; ``None`` while it is the newest.
 
         A runner's own queue may be seconds long: a request sent before a version was named would
@@ -105,18 +105,18 @@
             return None
         return passed_ms + int(self._daemon.settings.bounds.version_ms * BEGINS_SHARE)
 
-    def missing(self, adapter: str, life: ServerLife) -> None:
+    def mark_adapter_missing(self, adapter: str, life: ServerLife) -> None:
         """Take the word of a runner that it does not hold an adapter."""
         self._daemon.duties.residency.missing(life, adapter)
         self._daemon.duties.doubt(life, adapter)
 
-    def ask(
+    def request_slot(
         self,
         call: Call,
         route: Route,
         service: Service,
         job: Job,
-        crowded: Collection[ServerLife] = (),
+        overloaded: Collection[ServerLife] = (),
     ) -> Chosen | NoServer:
         """Have the adapter loaded somewhere; waits until it is there.
 
@@ -124,10 +124,10 @@
         """
         clock = self._daemon.clock
         began_ms = clock.now_ms()
-        if crowded and not self._others(service, crowded):
-            drained_ms = self._daemon.backlog.drained_ms(crowded, job, began_ms)
+        if overloaded and not self._others(service, overloaded):
+            drained_ms = self._daemon.backlog.queue_drain_ms(overloaded, job, began_ms)
             return NoServer("every queue is longer than the time left", drained_ms)
-        found = self._ask(call, route, service, job, frozenset(crowded))
+        found = self._ask(call, route, service, job, frozenset(overloaded))
         waited_ms = clock.now_ms() - began_ms
         result = "placed" if isinstance(found, Chosen) else "refused"
         self._daemon.metrics.place_wait.labels(result).observe(waited_ms / 1000)
@@ -154,13 +154,13 @@
     ) -> Chosen | NoServer:
         clock = self._daemon.clock
         began_ms = clock.now_ms()
-        until_ms = began_ms + int((job.until_ms - began_ms) * WAIT_SHARE)
-        if not job.resuming():
+        until_ms = began_ms + int((job.answer_deadline_ms - began_ms) * WAIT_SHARE)
+        if not job.is_resuming():
             until_ms = min(until_ms, self._stays_until_ms(call, route, job))
         while (left_ms := until_ms - clock.now_ms()) > 0:
             question = self._question(call, route, service, job, left_ms, crowded)
             question["waited_ms"] = clock.now_ms() - began_ms
-            question["tried_ms"] = job.request.arrived_ms - job.since_ms
+            question["tried_ms"] = job.request.arrived_ms - job.first_tried_ms
             found = self._send(service, question, left_ms)
             if isinstance(found, NoSlot):
                 return NoServer("too many wait for a place", found.retry_after_ms)
@@ -180,10 +180,10 @@
         back.
         """
         if route.first_event_timeout_ms is None:
-            return job.until_ms
-        answer_ms = self._daemon.gateway.first_event_pace.expected_ms(call.prompt_tokens)
+            return job.answer_deadline_ms
+        answer_ms = self._daemon.gateway.first_event_estimator.expected_ms(call.prompt_tokens)
         leaves_ms = job.request.arrived_ms + route.first_event_timeout_ms
-        return min(leaves_ms, job.taken_back_ms()) - answer_ms
+        return min(leaves_ms, job.cancel_at_ms()) - answer_ms
 
     def _chosen(self, call: Call, job: Job, placed: Placed) -> Chosen | None:
         book = self._daemon.beliefs.book
@@ -192,7 +192,7 @@
             return None
         if self._is_over(call.adapter or "", placed.version):
             return None
-        job.since_ms = min(job.since_ms, job.request.arrived_ms - placed.tried_ms)
+        job.first_tried_ms = min(job.first_tried_ms, job.request.arrived_ms - placed.tried_ms)
         adapter = call.adapter or ""
         ref = AdapterRef(adapter, placed.version)
         self._daemon.duties.residency.granted(placed.life, ref)
@@ -203,12 +203,12 @@
 
     def _held_meanwhile(self, call: Call, service: Service, job: Job) -> Chosen | None:
         """Return a runner that was heard to hold the adapter while nobody answered."""
-        held = self.holders(call.adapter or "")
+        held = self.runners_with_adapter(call.adapter or "")
         now_ms = self._daemon.clock.now_ms()
         for server in self._daemon.beliefs.book.servers_of(service.name):
-            if server.life not in held or server.life in job.avoided:
+            if server.life not in held or server.life in job.avoided_lives:
                 continue
-            if self._daemon.backlog.in_time(server.life, job, now_ms):
+            if self._daemon.backlog.can_prefill_in_time(server.life, job, now_ms):
                 return self._to(server, call, job, held[server.life], None, "held meanwhile")
         return None
 
@@ -227,11 +227,11 @@
         crowded: frozenset[ServerLife],
     ) -> dict[str, Any]:
         now_ms = self._daemon.clock.now_ms()
-        read_ms = None if job.resuming() else Backlog.patience_ms(job, now_ms)
-        answer_ms = self._daemon.gateway.first_event_pace.expected_ms(call.prompt_tokens)
-        on_time_ms = job.on_time_until_ms() - answer_ms - now_ms
+        read_ms = None if job.is_resuming() else Backlog.max_queue_ms(job, now_ms)
+        answer_ms = self._daemon.gateway.first_event_estimator.expected_ms(call.prompt_tokens)
+        on_time_ms = job.objective_deadline_ms() - answer_ms - now_ms
         priority = route.priority
-        if job.resuming():
+        if job.is_resuming():
             # Half an answer is worth nothing: who has had a part of it goes before all others.
             priority, on_time_ms = RESUME_PRIORITY, left_ms
         return {
@@ -247,7 +247,7 @@
             "rank": job.rank_at(now_ms),
             "prompt_tokens": call.prompt_tokens,
             "read_ms": read_ms,
-            "tokens_per_ms": self._daemon.backlog.pace.tokens_per_ms(None, now_ms),
+            "tokens_per_ms": self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms),
         }
 
     def _send(
@@ -288,7 +288,7 @@
         now_ms = self._daemon.clock.now_ms()
         runners = [s.life for s in self._daemon.beliefs.book.servers_of(service.name)]
         paused = [s for s in runners if self._daemon.conditions.is_paused(s, now_ms)]
-        avoided = {*job.avoided, *paused, *crowded}
+        avoided = {*job.avoided_lives, *paused, *crowded}
         return sorted(avoided if set(runners) - avoided else crowded)
 
     def _is_over(self, adapter: str, version: int) -> bool:
@@ -312,8 +312,8 @@
             call.adapter,
             version,
             call.prompt_tokens,
-            call.prompt_tokens + call.output_tokens,
+            call.prompt_tokens + call.max_output_tokens,
             expect_version,
             why,
-            self._daemon.backlog.ahead(server.life, job, now_ms),
+            self._daemon.backlog.queue_ahead(server.life, job, now_ms),
         )
--- a/monsoonflow/entry/stopping.py
+++ b/monsoonflow/entry/stopping.py
@@ -36,7 +36,7 @@
         daemon.tasks.sleep(CHECK_EVERY_MS)
     # What came now might not be finished: a long answer would be cut by the end of the grace
     # period. On connections that callers kept it is refused unrun, new connections are not taken.
-    daemon.gateway.takes_requests = False
+    daemon.gateway.accepts_requests = False
     daemon.ports.callers.stop_listening()
     daemon.tasks.sleep(CHECK_EVERY_MS)
     while daemon.clock.now_ms() < end_ms and (
--- a/monsoonflow/fleet/codec.py
+++ b/monsoonflow/fleet/codec.py
@@ -11,7 +11,7 @@
 
 from ..core.adapter import AdapterRef
 from ..core.server_life import ServerLife
-from ..quarantine.models import Ending
+from ..quarantine.models import ServerCrash
 from ..routing.budget import RetryUsage
 from ..routing.in_flight import ServerWork
 from ..routing.overload import OverloadedRunners
@@ -209,7 +209,7 @@
         retry_history=_retry_history_from_fields(_optional_field(fields, 18)),
         crashes=tuple(
             [
-                Ending(str(name), ServerLife(life))
+                ServerCrash(str(name), ServerLife(life))
                 for name, life in _optional_field(fields, 19) or ()
             ]
         ),
--- a/monsoonflow/fleet/models.py
+++ b/monsoonflow/fleet/models.py
@@ -9,7 +9,7 @@
 
 from ..core.adapter import AdapterRef
 from ..core.server_life import ServerLife
-from ..quarantine.models import Ending
+from ..quarantine.models import ServerCrash
 from ..routing.budget import RetryUsage
 from ..routing.in_flight import ServerWork
 from ..routing.overload import OverloadedRunners
@@ -156,7 +156,7 @@
     lag_ms: int = 0
     is_active: bool = True
     retry_history: RetryHistory = RetryHistory()
-    crashes: tuple[Ending, ...] = ()
+    crashes: tuple[ServerCrash, ...] = ()
     quarantined_fingerprints: tuple[str, ...] = ()
 
     @property
--- a/monsoonflow/gateway/backlog.py
+++ b/monsoonflow/gateway/backlog.py
@@ -16,11 +16,11 @@
 from .job import Job
 from .models import Chosen, QueueAhead
 
-QUEUE_SHARE: Final = 0.8
+MAX_QUEUE_SHARE: Final = 0.8
 """Share of the time until a request is given up that a queue may take: what other nodes send
 meanwhile is not heard of yet."""
 
-UNTOLD_MS: Final = 400
+UNREPORTED_MS: Final = 400
 """After so long the holder's word counts a request of this node: its report takes 200 ms at most,
 and the holder's next one as long again."""
 
@@ -31,8 +31,8 @@
 
     in_flight: InFlight
     view: FleetView
-    pace: PrefillRate = attrs.Factory(PrefillRate)
-    lately_sent: RecentlySent = attrs.Factory(lambda: RecentlySent(UNTOLD_MS))
+    prefill_rate: PrefillRate = attrs.Factory(PrefillRate)
+    recently_sent: RecentlySent = attrs.Factory(lambda: RecentlySent(UNREPORTED_MS))
 
     def work_at(self, life: ServerLife, cell: str, now_ms: int) -> ServerWork:
         """Return what all nodes have in progress at a runner of a cell."""
@@ -43,25 +43,25 @@
         crowded = self.view.overloaded_runners(cell, now_ms)
         if crowded is None:
             return total
-        pace = self.pace.tokens_per_ms(None, now_ms)
-        lately_sent = self.lately_sent.tokens(life, now_ms)
+        pace = self.prefill_rate.tokens_per_ms(None, now_ms)
+        lately_sent = self.recently_sent.tokens(life, now_ms)
         return apply_holder_report(total, own, crowded.get(life), lately_sent, pace)
 
-    def sent(self, chosen: Chosen, now_ms: int) -> None:
+    def record_sent(self, chosen: Chosen, now_ms: int) -> None:
         """Take that a request goes to a runner."""
         if chosen.queue is not None:
-            self.lately_sent.add(chosen.life, chosen.unread_tokens, now_ms)
+            self.recently_sent.add(chosen.life, chosen.prefill_tokens, now_ms)
 
-    def ahead(self, life: ServerLife, job: Job, now_ms: int) -> QueueAhead:
+    def queue_ahead(self, life: ServerLife, job: Job, now_ms: int) -> QueueAhead:
         """Return what a request would wait for at a runner."""
         unread = self.work_at(life, job.service.name, now_ms).pending_prefill_ahead(
             job.rank_at(now_ms)
         )
-        expect_ms = self.pace.expected_ms(life, unread + job.call.prompt_tokens, now_ms)
+        expect_ms = self.prefill_rate.expected_ms(life, unread + job.call.prompt_tokens, now_ms)
         return QueueAhead(unread, expect_ms)
 
-    def in_time(
-        self, life: ServerLife, job: Job, now_ms: int, begins_until_ms: int | None = None
+    def can_prefill_in_time(
+        self, life: ServerLife, job: Job, now_ms: int, start_deadline_ms: int | None = None
     ) -> bool:
         """Tell whether a runner will have read a request before its caller leaves.
 
@@ -71,45 +71,47 @@
         :param begins_until_ms: the end of the term of an old version. A request that waits beyond
             it at the runner is not ours any more to keep from beginning.
         """
-        if job.resuming() and begins_until_ms is None:
+        if job.is_resuming() and start_deadline_ms is None:
             return True
-        ahead = self.ahead(life, job, now_ms)
-        expect_ms = ahead.expect_ms
+        ahead = self.queue_ahead(life, job, now_ms)
+        expect_ms = ahead.expected_ms
         # Refused before an idle runner, nobody would ever show that it reads quicker than believed.
-        idle = ahead.unread_tokens == 0
-        if begins_until_ms is not None and now_ms + expect_ms > begins_until_ms:
+        idle = ahead.pending_prefill_tokens == 0
+        if start_deadline_ms is not None and now_ms + expect_ms > start_deadline_ms:
             return False
-        patience_ms = self.patience_ms(job, now_ms)
-        return job.resuming() or expect_ms <= patience_ms or (idle and patience_ms > 0)
+        patience_ms = self.max_queue_ms(job, now_ms)
+        return job.is_resuming() or expect_ms <= patience_ms or (idle and patience_ms > 0)
 
     @staticmethod
-    def patience_ms(job: Job, now_ms: int) -> int:
+    def max_queue_ms(job: Job, now_ms: int) -> int:
         """Return how long a queue may take to be read before a request.
 
         Counted until it is given up, not until its caller leaves: what was sent with the time in
         between as its margin was given up unread, one of seven in a rush, and kept others waiting.
         """
-        return int((job.taken_back_ms() - now_ms) * QUEUE_SHARE)
+        return int((job.cancel_at_ms() - now_ms) * MAX_QUEUE_SHARE)
 
-    def drained_ms(self, lives: Collection[ServerLife], job: Job, now_ms: int) -> int:
+    def queue_drain_ms(self, lives: Collection[ServerLife], job: Job, now_ms: int) -> int:
         """Return in how long one of some runners would read such a request in time."""
-        left_ms = self.patience_ms(job, now_ms)
-        waits = [self.ahead(life, job, now_ms).expect_ms - left_ms for life in lives]
+        left_ms = self.max_queue_ms(job, now_ms)
+        waits = [self.queue_ahead(life, job, now_ms).expected_ms - left_ms for life in lives]
         return max(MIN_DRAIN_MS, min(waits, default=0))
 
-    def first_event(self, chosen: Chosen, took_ms: int, now_ms: int) -> None:
+    def record_first_event(self, chosen: Chosen, took_ms: int, now_ms: int) -> None:
         """Take how long a request waited for its first event."""
         if chosen.queue is not None:
-            tokens = chosen.queue.unread_tokens + chosen.unread_tokens
-            self.pace.record(chosen.life, tokens, chosen.unread_tokens, took_ms, now_ms)
+            tokens = chosen.queue.pending_prefill_tokens + chosen.prefill_tokens
+            self.prefill_rate.record(chosen.life, tokens, chosen.prefill_tokens, took_ms, now_ms)
 
-    def no_first_event(self, chosen: Chosen, waited_ms: int, now_ms: int) -> None:
+    def record_missing_first_event(self, chosen: Chosen, waited_ms: int, now_ms: int) -> None:
         """Take that a request waited in vain for its first event."""
         if chosen.queue is not None:
-            tokens = chosen.queue.unread_tokens + chosen.unread_tokens
-            self.pace.record_overdue(chosen.life, tokens, chosen.unread_tokens, waited_ms, now_ms)
+            tokens = chosen.queue.pending_prefill_tokens + chosen.prefill_tokens
+            self.prefill_rate.record_overdue(
+                chosen.life, tokens, chosen.prefill_tokens, waited_ms, now_ms
+            )
 
     def forget(self, life: ServerLife) -> None:
         """Drop a runner that is gone."""
-        self.pace.forget(life)
-        self.lately_sent.forget(life)
+        self.prefill_rate.forget(life)
+        self.recently_sent.forget(life)
--- a/monsoonflow/gateway/budget.py
+++ b/monsoonflow/gateway/budget.py
@@ -11,7 +11,7 @@
 from ..routing.budget import FleetRetryBudget, Headroom, PeerRetryUsage, RetryUsage
 
 
-class SharedRetries:
+class SharedRetryBudget:
     """The retry budget of all nodes, as this one knows it.
 
     :param active: tells whether this node has told the others that it has callers.
@@ -22,40 +22,40 @@
         budget: FleetRetryBudget,
         view: FleetView,
         clock: Clock,
-        active: Callable[[], bool] = lambda: True,
+        is_active: Callable[[], bool] = lambda: True,
     ) -> None:
         self._budget = budget
         self._view = view
         self._clock = clock
-        self._active = active
+        self._is_active = is_active
 
-    def first(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request for a service."""
         self._budget.record_first_attempt(service, self._clock.now_ms())
 
-    def may_retry(self, service: str) -> Headroom:
+    def reserve_retry(self, service: str) -> Headroom:
         """Return whether the budget allows one more arrival, and keep a place for it if so."""
         now_ms = self._clock.now_ms()
-        headroom = self._budget.headroom(service, self.others(service), now_ms)
+        headroom = self._budget.headroom(service, self.peer_usage(service), now_ms)
         if headroom.is_allowed:
             self._budget.grant_retry(service, now_ms)
         return headroom
 
-    def sent(self, service: str) -> None:
+    def record_retry_sent(self, service: str) -> None:
         """Count a further try that was allowed: it goes to a server now."""
         self._budget.record_sent_retry(service, self._clock.now_ms())
 
-    def unused(self, service: str) -> None:
+    def release_retry(self, service: str) -> None:
         """Give back a further try that was allowed and will not be sent."""
         self._budget.cancel_retry(service)
 
-    def others(self, service: str) -> PeerRetryUsage:
+    def peer_usage(self, service: str) -> PeerRetryUsage:
         """Return what the other nodes have spent of a service's budget."""
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
         active_ms, idle_ms = view.max_age_ms(is_active=True), view.max_age_ms(is_active=False)
         words = view.received_heartbeats(now_ms, max(window_ms, idle_ms))
-        active = [word.heartbeat for word in words if self._shares(word, active_ms)]
+        active = [word.heartbeat for word in words if self._shares_budget(word, active_ms)]
         idle = [w.heartbeat for w in words if not w.heartbeat.is_active and w.age_ms <= idle_ms]
         counted = {report.name for report in (*active, *idle)}
         silent = [
@@ -81,21 +81,22 @@
             ),
             sharing_nodes=len(sharers),
             connected_nodes=1 + len(active),
-            past_retries=_retries(service, silent) + max([_retries(service, ended), *told_past]),
+            past_retries=_count_retries(service, silent)
+            + max([_count_retries(service, ended), *told_past]),
             ended_processes=max(
-                [len(_cut_short(ended)), *(memory.ended_processes for memory in memories)]
+                [len(_abrupt_exits(ended)), *(memory.ended_processes for memory in memories)]
             ),
-            is_entitled=self._active()
+            is_entitled=self._is_active()
             and (self._budget.counted_ms(now_ms) >= window_ms or bool(memories)),
             max_heartbeat_age_ms=active_ms + HEARTBEAT_INTERVAL_MS,
         )
 
-    def memory(self) -> RetryHistory:
+    def retry_history(self) -> RetryHistory:
         """Return what this node tells the others of what it remembers.
 
         One that has no callers shares with nobody, and nobody asks for its memory.
         """
-        if not self._active():
+        if not self._is_active():
             return RetryHistory()
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
@@ -106,27 +107,29 @@
             fresh_peers=frozenset(
                 view.active_peer_names_within(view.max_age_ms(is_active=True), now_ms)
             ),
-            past_retries_by_service={service: _retries(service, ended) for service in services},
-            ended_processes=len(_cut_short(ended)),
+            past_retries_by_service={
+                service: _count_retries(service, ended) for service in services
+            },
+            ended_processes=len(_abrupt_exits(ended)),
         )
 
-    def _shares(self, word: ReceivedHeartbeat, fades_ms: int) -> bool:
+    def _shares_budget(self, word: ReceivedHeartbeat, max_age_ms: int) -> bool:
         """Tell whether a node shares with this one by its word: both hear each other.
 
         One that does not hear this node spends by its last word, and keeps its own share.
         """
         report = word.heartbeat
-        fresh = report.is_active and word.age_ms <= fades_ms
+        fresh = report.is_active and word.age_ms <= max_age_ms
         return fresh and self._view.name in report.retry_history.fresh_peers
 
 
-def _retries(service: str, reports: list[Heartbeat]) -> int:
+def _count_retries(service: str, reports: list[Heartbeat]) -> int:
     return sum(
         report.retry_usage_by_service.get(service, RetryUsage()).retries for report in reports
     )
 
 
-def _cut_short(ended: list[Heartbeat]) -> list[Heartbeat]:
+def _abrupt_exits(ended: list[Heartbeat]) -> list[Heartbeat]:
     """Return the processes that may have spent their share after their last report.
 
     One that stopped in order has told all, and one without callers had no share.
--- a/monsoonflow/gateway/job.py
+++ b/monsoonflow/gateway/job.py
@@ -9,15 +9,15 @@
 from ..routing.budget import Headroom
 from ..routing.routes import Route, Service
 from ..transport.models import Request
-from .events import EventCutter
+from .event_splitter import EventSplitter
 from .models import Call
 
-LATE_RANKS: Final = 5
+LATE_RANK_PENALTY: Final = 5
 """How many ranks a request falls back at a runner once its latency objective has passed."""
 
-LAST_RANK: Final = 9
+MAX_RANK: Final = 9
 
-NOTICE_MS: Final = 700
+CANCEL_BEFORE_CALLER_LEAVES_MS: Final = 700
 """So long before its caller leaves a request without a first event is given up. A runner that reads
 long prompts slowly looks at its connections every 0.75 s: told at the caller's leave, it is at work
 for nobody a while after. Of 294 that had waited so long on a loaded day, 172 got nothing more."""
@@ -44,45 +44,47 @@
     call: Call
     route: Route
     service: Service
-    since_ms: int
-    until_ms: int
-    deadline_at_ms: int
+    first_tried_ms: int
+    answer_deadline_ms: int
+    caller_deadline_ms: int
     fingerprint: str = ""
-    tried: list[str] = attrs.Factory(list)
-    avoided: list[str] = attrs.Factory(list)
-    runs: int = 0
+    tried_lives: list[str] = attrs.Factory(list)
+    avoided_lives: list[str] = attrs.Factory(list)
+    possible_runs: int = 0
     refused_ms_by_life: dict[str, int] = attrs.Factory(dict)
     retry_after_ms: int | None = None
-    cutter: EventCutter | None = None
+    splitter: EventSplitter | None = None
     headroom: Headroom | None = None
-    turn_held: bool = False
-    retry_granted: bool = False
-    first_ms: int | None = None
+    holds_turn: bool = False
+    has_reserved_retry: bool = False
+    first_event_ms: int | None = None
 
     @property
     def may_have_run(self) -> bool:
         """Tell whether a try may have run on a server."""
-        return self.runs > 0
+        return self.possible_runs > 0
 
-    def on_time_until_ms(self) -> int:
+    def objective_deadline_ms(self) -> int:
         """Return until when the first event meets the route's latency objective."""
-        return self.since_ms + self.route.objective_ms
+        return self.first_tried_ms + self.route.objective_ms
 
-    def first_event_until_ms(self) -> int:
+    def first_event_deadline_ms(self) -> int:
         """Return until when the first event must be there: then its caller leaves.
 
         Callers of a stream leave long before their deadline when nothing comes.
         """
         if self.route.first_event_timeout_ms is None:
-            return self.until_ms
-        return min(self.until_ms, self.request.arrived_ms + self.route.first_event_timeout_ms)
+            return self.answer_deadline_ms
+        return min(
+            self.answer_deadline_ms, self.request.arrived_ms + self.route.first_event_timeout_ms
+        )
 
-    def taken_back_ms(self) -> int:
+    def cancel_at_ms(self) -> int:
         """Return when the request is given up where its first event has not come by then."""
-        leaves_ms = self.first_event_until_ms()
-        if self.route.first_event_timeout_ms is None or leaves_ms >= self.until_ms:
-            return self.until_ms
-        return leaves_ms - NOTICE_MS
+        leaves_ms = self.first_event_deadline_ms()
+        if self.route.first_event_timeout_ms is None or leaves_ms >= self.answer_deadline_ms:
+            return self.answer_deadline_ms
+        return leaves_ms - CANCEL_BEFORE_CALLER_LEAVES_MS
 
     def rank_at(self, now_ms: int) -> int:
         """Return the rank at a runner, 0 first.
@@ -90,15 +92,15 @@
         Who is late already goes behind who can still be on time: in the order of arrival a backlog
         would make all of them late. Who has had a part of its answer goes first.
         """
-        if self.resuming():
+        if self.is_resuming():
             return 0
-        late = now_ms > self.on_time_until_ms()
-        return min(self.route.priority + (LATE_RANKS if late else 0), LAST_RANK)
+        late = now_ms > self.objective_deadline_ms()
+        return min(self.route.priority + (LATE_RANK_PENALTY if late else 0), MAX_RANK)
 
-    def resuming(self) -> bool:
+    def is_resuming(self) -> bool:
         """Tell whether parts of the answer have been passed on."""
-        return self.cutter is not None and self.cutter.events > 0
+        return self.splitter is not None and self.splitter.event_count > 0
 
     def may_run_again(self) -> bool:
         """Tell whether another server may run it, by its kind and the route's attempts."""
-        return self.route.is_repeatable and self.runs < self.route.max_attempts
+        return self.route.is_repeatable and self.possible_runs < self.route.max_attempts
--- a/monsoonflow/gateway/models.py
+++ b/monsoonflow/gateway/models.py
@@ -31,10 +31,10 @@
     model: str | None = None
     adapter: str | None = None
     prompt_tokens: int = 0
-    output_tokens: int = 0
+    max_output_tokens: int = 0
     length_hint: int | None = None
     session: str | None = None
-    last_event: bytes | None = None
+    last_event_id: bytes | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(slots=True)
-class Onward:
+class ForwardedRequest:
     """What this node says of a request to a server.
 
     :param left_ms: how long the server may work.
@@ -54,11 +54,11 @@
     :param last_event: where a stream goes on.
     """
 
-    left_ms: int
+    remaining_ms: int
     life: ServerLife
-    priority: int | None = None
+    rank: int | None = None
     expect_version: int | None = None
-    last_event: bytes | None = None
+    last_event_id: bytes | None = None
 
 
 @attrs.frozen(slots=True)
@@ -71,7 +71,7 @@
     """
 
     request_id: str | None
-    stamped: bool
+    is_signed: bool
     not_run: bool
     retry_after_ms: int | None = None
 
@@ -82,16 +82,16 @@
     def read_call(self, request: Request) -> Call | Malformed:
         """Return what a caller says of its request."""
 
-    def onward_head(self, request: Request, onward: Onward) -> bytes:
+    def forwarded_head(self, request: Request, forwarded: ForwardedRequest) -> bytes:
         """Return the head of the request to a server."""
 
     def read_answer(self, head: AnswerHead) -> AnswerTerms:
         """Return what a server says of its answer."""
 
-    def passed_headers(self, head: AnswerHead) -> list[Header]:
+    def forwarded_headers(self, head: AnswerHead) -> list[Header]:
         """Return the headers of an answer that go on to the caller."""
 
-    def own_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
+    def own_answer_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
         """Return the headers of an answer of this node's own."""
 
 
@@ -112,7 +112,7 @@
     """
 
     reason: str
-    refused: bool = False
+    connection_refused: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
 
     reason: str
     retry_after_ms: int | None = None
-    moved: bool = False
+    misrouted: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
     silent: bool = False
 
 
-Try: TypeAlias = (
+AttemptResult: TypeAlias = (
     Whole | Unsent | Rejected | Unclear | TimedOut | Abandoned | Recalled | Passed | Cut
 )
 
@@ -189,8 +189,8 @@
     :param expect_ms: time until its first event.
     """
 
-    unread_tokens: int
-    expect_ms: int
+    pending_prefill_tokens: int
+    expected_ms: int
 
 
 @attrs.frozen(slots=True)
@@ -207,7 +207,7 @@
     address: str
     adapter: str | None = None
     version: int | None = None
-    unread_tokens: int = 0
+    prefill_tokens: int = 0
     memory_tokens: int = 0
     expect_version: int | None = None
     why: str = ""
--- a/monsoonflow/gateway/record.py
+++ b/monsoonflow/gateway/request_log.py
@@ -12,34 +12,40 @@
 from ..routing.routes import RouteKind
 from ..transport.server import Reply
 from .job import Job
-from .models import Chosen, Onward, Try
+from .models import AttemptResult, Chosen, ForwardedRequest
 
 _LOGGER = logging.getLogger(__name__)
-SAMPLED: Final = frozenset({"refused"})
+SAMPLED_OUTCOMES: Final = frozenset({"refused"})
 """Outcomes that repeat at overload; all others are always written."""
 
-GOOD: Final = frozenset({"answered", "passed"})
+SUCCESSFUL_OUTCOMES: Final = frozenset({"answered", "passed"})
 
 
 class RequestMetrics(Protocol):
     """What is counted of requests."""
 
-    def ended(
-        self, kind: str, priority: int, outcome: str, objective: str, first_ms: int | None, ms: int
+    def count_request(
+        self,
+        kind: str,
+        priority: int,
+        outcome: str,
+        objective: str,
+        first_ms: int | None,
+        took_ms: int,
     ) -> None:
         """Count a request's end."""
 
-    def tried(self, result: str) -> None:
+    def count_attempt(self, result: str) -> None:
         """Count a try at a server."""
 
-    def again(self, allowed: bool) -> None:
+    def count_retry(self, allowed: bool) -> None:
         """Count a wish to try again."""
 
-    def resumed(self) -> None:
+    def count_resume(self) -> None:
         """Count a stream that goes on elsewhere."""
 
 
-class Record:
+class RequestLog:
     """Writes down the decisions about requests.
 
     :param servers_age_ms: returns how long ago the store last told of servers.
@@ -56,7 +62,7 @@
         self._servers_age_ms = servers_age_ms
         self._sampler = Sampler()
 
-    def accepted(self, job: Job, config_version: int) -> None:
+    def log_accepted(self, job: Job, config_version: int) -> None:
         """Note that a request has a route."""
         call, route = job.call, job.route
         log(
@@ -69,44 +75,48 @@
                 config=config_version,
                 priority=route.priority,
                 deadline_ms=call.deadline_ms,
-                left_ms=job.until_ms - self._clock.now_ms(),
-                tried_before_ms=job.request.arrived_ms - job.since_ms,
+                left_ms=job.answer_deadline_ms - self._clock.now_ms(),
+                tried_before_ms=job.request.arrived_ms - job.first_tried_ms,
                 fingerprint=job.fingerprint,
             ),
         )
 
-    def sent(self, job: Job, chosen: Chosen, onward: Onward) -> None:
+    def log_sent(self, job: Job, chosen: Chosen, forwarded: ForwardedRequest) -> None:
         """Note that a request goes to a server."""
-        after = onward.last_event
+        after = forwarded.last_event_id
         queue = chosen.queue
         log(
             _LOGGER,
             events.RequestSent(
                 request=job.call.request_id,
                 server=chosen.life,
-                attempt=len(job.tried),
+                attempt=len(job.tried_lives),
                 why=chosen.why,
-                left_ms=onward.left_ms,
-                rank=onward.priority,
+                left_ms=forwarded.remaining_ms,
+                rank=forwarded.rank,
                 version=chosen.version,
-                expect_version=onward.expect_version,
-                unread_tokens=queue.unread_tokens if queue is not None else None,
-                expected_ms=queue.expect_ms if queue is not None else None,
+                expect_version=forwarded.expect_version,
+                unread_tokens=queue.pending_prefill_tokens if queue is not None else None,
+                expected_ms=queue.expected_ms if queue is not None else None,
                 after_event=after.decode("latin-1") if after is not None else None,
                 servers_age_ms=self._servers_age_ms(),
             ),
         )
 
-    def refused(
-        self, job: Job, chosen: Chosen, cause: str, moved: bool, retry_after_ms: int | None
+    def log_refused(
+        self, job: Job, chosen: Chosen, cause: str, misrouted: bool, retry_after_ms: int | None
     ) -> None:
         """Note that a server did not run a request."""
         log(
             _LOGGER,
-            events.ServerRefused(job.call.request_id, chosen.life, cause, moved, retry_after_ms),
+            events.ServerRefused(
+                job.call.request_id, chosen.life, cause, misrouted, retry_after_ms
+            ),
         )
 
-    def failed(self, job: Job, chosen: Chosen, cause: str, again: bool, took_ms: int) -> None:
+    def log_failed(
+        self, job: Job, chosen: Chosen, cause: str, will_retry: bool, took_ms: int
+    ) -> None:
         """Note that a try did not end well."""
         headroom = job.headroom
         log(
@@ -116,41 +126,43 @@
                 chosen.life,
                 cause,
                 job.may_have_run,
-                again,
+                will_retry,
                 took_ms,
                 retries_known=headroom.known_retries if headroom is not None else None,
                 retries_limit=round(headroom.retry_limit) if headroom is not None else None,
             ),
         )
 
-    def tried(self, result: Try) -> None:
+    def count_attempt(self, result: AttemptResult) -> None:
         """Count a try."""
-        self._metrics.tried(type(result).__name__.lower())
+        self._metrics.count_attempt(type(result).__name__.lower())
 
-    def wanted_again(self, allowed: bool) -> None:
+    def count_retry(self, allowed: bool) -> None:
         """Count a wish to try again."""
-        self._metrics.again(allowed)
+        self._metrics.count_retry(allowed)
 
-    def resuming(self) -> None:
+    def count_resume(self) -> None:
         """Count a stream that goes on elsewhere."""
-        self._metrics.resumed()
+        self._metrics.count_resume()
 
-    def ended(self, job: Job, reply: Reply, outcome: str, cause: str | None = None) -> None:
+    def log_ended(self, job: Job, reply: Reply, outcome: str, cause: str | None = None) -> None:
         """Note that a request's story here is over."""
         now_ms = self._clock.now_ms()
         took_ms = now_ms - job.request.arrived_ms
-        first_ms = None if job.first_ms is None else job.first_ms - job.request.arrived_ms
-        if job.route.kind is not RouteKind.STREAM and outcome in GOOD:
+        first_ms = (
+            None if job.first_event_ms is None else job.first_event_ms - job.request.arrived_ms
+        )
+        if job.route.kind is not RouteKind.STREAM and outcome in SUCCESSFUL_OUTCOMES:
             first_ms = took_ms
-        self._metrics.ended(
+        self._metrics.count_request(
             job.route.kind.value,
             job.route.priority,
             outcome,
-            self._objective(job, outcome, first_ms),
+            self._objective_result(job, outcome, first_ms),
             first_ms,
             took_ms,
         )
-        if outcome in SAMPLED and not self._sampler.allows(outcome, cause or "", now_ms):
+        if outcome in SAMPLED_OUTCOMES and not self._sampler.allows(outcome, cause or "", now_ms):
             return
         for kind, repeated, count in self._sampler.left_out(now_ms):
             log(_LOGGER, events.LinesSuppressed(kind, repeated, count))
@@ -165,14 +177,14 @@
                 bytes=reply.sent_bytes,
                 first_ms=first_ms,
                 took_ms=took_ms,
-                left_ms=job.until_ms - now_ms,
-                tried=",".join(job.tried) or None,
+                left_ms=job.answer_deadline_ms - now_ms,
+                tried=",".join(job.tried_lives) or None,
                 cause=cause,
             ),
         )
 
     @staticmethod
-    def _objective(job: Job, outcome: str, first_ms: int | None) -> str:
-        if outcome not in GOOD:
+    def _objective_result(job: Job, outcome: str, first_ms: int | None) -> str:
+        if outcome not in SUCCESSFUL_OUTCOMES:
             return "left" if outcome == "caller_left" else "missed"
         return "met" if (first_ms or 0) <= job.route.objective_ms else "late"
--- a/monsoonflow/platform/headers.py
+++ b/monsoonflow/platform/headers.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from ..gateway.models import AnswerTerms, Call, Malformed, Onward
+from ..gateway.models import AnswerTerms, Call, ForwardedRequest, Malformed
 from ..transport.const import ONE_CONNECTION_ONLY
 from ..transport.models import AnswerHead, Header, Request
 
@@ -73,13 +73,13 @@
             model=model or None,
             adapter=f"{model}/{adapter}" if adapter else None,
             prompt_tokens=int(prompt or 0),
-            output_tokens=int(output or 0),
+            max_output_tokens=int(output or 0),
             length_hint=int(float(hint)) if hint else None,
             session=last_part.decode("latin-1").strip() or None,
-            last_event=values.get(LAST_EVENT),
+            last_event_id=values.get(LAST_EVENT),
         )
 
-    def onward_head(self, request: Request, onward: Onward) -> bytes:
+    def forwarded_head(self, request: Request, forwarded: ForwardedRequest) -> bytes:
         """Return the head of the request to a server: the caller's, less what is not for it."""
         dropped = self._dropped(request.headers)
         lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
@@ -90,14 +90,14 @@
         ]
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
             lines.append(b"Content-Length: %d" % len(request.body))
-        lines.append(b"X-Deadline-Ms: %d" % onward.left_ms)
-        lines.append(b"X-Expect-Instance: %s" % onward.life.server_id.encode("latin-1"))
-        if onward.priority is not None:
-            lines.append(b"X-Request-Priority: %d" % onward.priority)
-        if onward.expect_version is not None:
-            lines.append(b"X-Expect-Version: %d" % onward.expect_version)
-        if onward.last_event is not None:
-            lines.append(b"Last-Event-Id: " + onward.last_event)
+        lines.append(b"X-Deadline-Ms: %d" % forwarded.remaining_ms)
+        lines.append(b"X-Expect-Instance: %s" % forwarded.life.server_id.encode("latin-1"))
+        if forwarded.rank is not None:
+            lines.append(b"X-Request-Priority: %d" % forwarded.rank)
+        if forwarded.expect_version is not None:
+            lines.append(b"X-Expect-Version: %d" % forwarded.expect_version)
+        if forwarded.last_event_id is not None:
+            lines.append(b"Last-Event-Id: " + forwarded.last_event_id)
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def read_answer(self, head: AnswerHead) -> AnswerTerms:
@@ -105,17 +105,17 @@
         request_id = head.value(REQUEST_ID)
         return AnswerTerms(
             request_id=None if request_id is None else request_id.decode("latin-1"),
-            stamped=bool(head.value(SIGNATURE)),
+            is_signed=bool(head.value(SIGNATURE)),
             not_run=head.value(NOT_RUN) is not None or head.status == 421,
             retry_after_ms=_retry_after_ms(head.value(b"retry-after")),
         )
 
-    def passed_headers(self, head: AnswerHead) -> list[Header]:
+    def forwarded_headers(self, head: AnswerHead) -> list[Header]:
         """Return the headers of an answer that go on to the caller."""
         dropped = self._dropped(head.headers)
         return [(name, value) for name, value in head.headers if name.lower() not in dropped]
 
-    def own_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
+    def own_answer_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
         """Return the headers of an answer of this node's own."""
         headers: list[Header] = []
         if call is not None:
--- a/monsoonflow/quarantine/models.py
+++ b/monsoonflow/quarantine/models.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(slots=True)
-class Ending:
+class ServerCrash:
     """A server ended while it had a request.
 
     :param fingerprint: of the request.
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(slots=True)
-class Quarantined:
+class QuarantinedRequest:
     """A request that is sent to no server any more.
 
     :param lives: the servers that ended under it.
@@ -39,6 +39,6 @@
     ``HELD``: it is suspected, and its turn is to be ended.
     """
 
-    FREE = auto()
-    HELD = auto()
-    LOST = auto()
+    NOT_NEEDED = auto()
+    ACQUIRED = auto()
+    TIMED_OUT = auto()
--- a/monsoonflow/quarantine/suspects.py
+++ b/monsoonflow/quarantine/suspects.py
@@ -13,44 +13,44 @@
 import attrs
 
 from ..core.server_life import ServerLife
-from .models import Ending, Quarantined
+from .models import QuarantinedRequest, ServerCrash
 
-ENDINGS_TO_PROVE: Final = 3
+CRASHES_TO_QUARANTINE: Final = 3
 """So many servers must have ended under a request: a bystander is rarely on three in a row."""
 
-ENDINGS_TO_RUN_APART: Final = 2
+CRASHES_TO_RUN_ALONE: Final = 2
 """From so many on a request runs apart from others that are suspected as much: retried side by
 side, they would be on the next server together as well, and all look to blame."""
 
-DOUBT_MS: Final = 5_000
+BROKEN_CONNECTION_TTL_MS: Final = 5_000
 """How long it is remembered that a request was on a server whose connection broke: by then it is
 known whether that server has ended."""
 
-SUSPECTED_MS: Final = 600_000
+SUSPICION_TTL_MS: Final = 600_000
 """How long a request is suspected after the last server that ended under it."""
 
-QUARANTINED_MS: Final = 3_600_000
+QUARANTINE_TTL_MS: Final = 3_600_000
 """After so long a request is given another chance: what it asked for may have been mended."""
 
-LIFTED_MS: Final = 60_000
+IGNORE_AFTER_LIFT_MS: Final = 60_000
 """So long after its quarantine was lifted the word of a node that has not heard of that, or of what
 was seen before, counts for nothing."""
 
-MOST_SUSPECTED: Final = 4_096
-MOST_QUARANTINED: Final = 1_024
-MOST_LIVES: Final = 256
+MAX_SUSPECTS: Final = 4_096
+MAX_QUARANTINED: Final = 1_024
+MAX_SERVERS: Final = 256
 
 
 @attrs.define(slots=True)
 class _Suspect:
-    at_ms: int
+    last_crash_ms: int
     lives: list[ServerLife] = attrs.Factory(list)
 
 
 @attrs.define(slots=True)
-class _Held:
-    at_ms: int
-    quarantined: Quarantined
+class _QuarantineEntry:
+    quarantined_ms: int
+    request: QuarantinedRequest
 
 
 class Suspects:
@@ -58,149 +58,161 @@
 
     >>> suspects = Suspects("n1")
     >>> for life in map(ServerLife, ("i-1", "i-2", "i-3")):
-    ...     _ = suspects.broke("f", life, 0)
-    ...     found = suspects.server_ended(life, 5)
+    ...     _ = suspects.record_broken_connection("f", life, 0)
+    ...     found = suspects.record_server_crash(life, 5)
     >>> [one.fingerprint for one in found], suspects.is_quarantined("f")
     (['f'], True)
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._broken_by_life: OrderedDict[ServerLife, dict[str, int]] = OrderedDict()
-        self._ended_ms_by_life: OrderedDict[ServerLife, int] = OrderedDict()
+        self._broken_connections_by_life: OrderedDict[ServerLife, dict[str, int]] = OrderedDict()
+        self._crashed_ms_by_life: OrderedDict[ServerLife, int] = OrderedDict()
         self._suspect_by_fingerprint: OrderedDict[str, _Suspect] = OrderedDict()
         self._lifted_ms_by_fingerprint: OrderedDict[str, int] = OrderedDict()
-        self._held_by_fingerprint: OrderedDict[str, _Held] = OrderedDict()
-        self._own: OrderedDict[Ending, int] = OrderedDict()
+        self._entry_by_fingerprint: OrderedDict[str, _QuarantineEntry] = OrderedDict()
+        self._own_crash_ms: OrderedDict[ServerCrash, int] = OrderedDict()
 
-    def broke(self, fingerprint: str, life: ServerLife, now_ms: int) -> list[Quarantined]:
+    def record_broken_connection(
+        self, fingerprint: str, life: ServerLife, now_ms: int
+    ) -> list[QuarantinedRequest]:
         """Take that a server's connection broke while it had a request.
 
         :return: what is quarantined by that, where the server is known to have ended.
         """
-        known = self._broken_by_life.get(life, {})
+        known = self._broken_connections_by_life.get(life, {})
         # A server that loses answers for days would otherwise be remembered with all of them.
-        broken = {name: at_ms for name, at_ms in known.items() if now_ms - at_ms <= DOUBT_MS}
+        broken = {
+            name: at_ms
+            for name, at_ms in known.items()
+            if now_ms - at_ms <= BROKEN_CONNECTION_TTL_MS
+        }
         broken[fingerprint] = now_ms
-        self._broken_by_life[life] = broken
-        _trim(self._broken_by_life, MOST_LIVES)
-        ended_ms = self._ended_ms_by_life.get(life)
-        just_ended = ended_ms is not None and now_ms - ended_ms <= DOUBT_MS
-        return self._blame(life, now_ms) if just_ended else []
+        self._broken_connections_by_life[life] = broken
+        _trim(self._broken_connections_by_life, MAX_SERVERS)
+        ended_ms = self._crashed_ms_by_life.get(life)
+        just_ended = ended_ms is not None and now_ms - ended_ms <= BROKEN_CONNECTION_TTL_MS
+        return self._record_crash_of_requests(life, now_ms) if just_ended else []
 
-    def server_ended(self, life: ServerLife, now_ms: int) -> list[Quarantined]:
+    def record_server_crash(self, life: ServerLife, now_ms: int) -> list[QuarantinedRequest]:
         """Take that a server has ended; return what is quarantined by that."""
-        self._ended_ms_by_life[life] = now_ms
-        _trim(self._ended_ms_by_life, MOST_LIVES)
-        return self._blame(life, now_ms)
+        self._crashed_ms_by_life[life] = now_ms
+        _trim(self._crashed_ms_by_life, MAX_SERVERS)
+        return self._record_crash_of_requests(life, now_ms)
 
-    def runs_apart(self, fingerprint: str) -> bool:
+    def must_run_alone(self, fingerprint: str) -> bool:
         """Tell whether a request must not run beside others that are suspected as much."""
         suspect = self._suspect_by_fingerprint.get(fingerprint)
-        return suspect is not None and len(suspect.lives) >= ENDINGS_TO_RUN_APART
+        return suspect is not None and len(suspect.lives) >= CRASHES_TO_RUN_ALONE
 
-    def broken_at(self, life: ServerLife) -> list[str]:
+    def broken_requests_at(self, life: ServerLife) -> list[str]:
         """Return the requests that were on a server as its connections broke."""
-        return list(self._broken_by_life.get(life, ()))
+        return list(self._broken_connections_by_life.get(life, ()))
 
-    def _blame(self, life: ServerLife, now_ms: int) -> list[Quarantined]:
+    def _record_crash_of_requests(self, life: ServerLife, now_ms: int) -> list[QuarantinedRequest]:
         found = []
-        for fingerprint, at_ms in self._broken_by_life.pop(life, {}).items():
-            if now_ms - at_ms > DOUBT_MS:
+        for fingerprint, at_ms in self._broken_connections_by_life.pop(life, {}).items():
+            if now_ms - at_ms > BROKEN_CONNECTION_TTL_MS:
                 continue
-            ending = Ending(fingerprint, life)
-            self._own[ending] = now_ms
-            _trim(self._own, MOST_SUSPECTED)
-            held = self.take(ending, now_ms, self._name)
+            ending = ServerCrash(fingerprint, life)
+            self._own_crash_ms[ending] = now_ms
+            _trim(self._own_crash_ms, MAX_SUSPECTS)
+            held = self.record_crash(ending, now_ms, self._name)
             if held is not None:
                 found.append(held)
         return found
 
-    def take(self, ending: Ending, now_ms: int, source: str) -> Quarantined | None:
+    def record_crash(
+        self, crash: ServerCrash, now_ms: int, source: str
+    ) -> QuarantinedRequest | None:
         """Take that a server ended under a request; return it if it is quarantined by that.
 
         :param source: the node that tells it.
         """
-        fingerprint = ending.fingerprint
-        if self._was_lifted(fingerprint, now_ms):
+        fingerprint = crash.fingerprint
+        if self._was_recently_lifted(fingerprint, now_ms):
             return None
         suspect = self._suspect_by_fingerprint.get(fingerprint)
-        if suspect is None or now_ms - suspect.at_ms > SUSPECTED_MS:
+        if suspect is None or now_ms - suspect.last_crash_ms > SUSPICION_TTL_MS:
             suspect = self._suspect_by_fingerprint[fingerprint] = _Suspect(now_ms)
-        if ending.life in suspect.lives:
+        if crash.life in suspect.lives:
             return None
-        suspect.lives.append(ending.life)
-        suspect.at_ms = now_ms
+        suspect.lives.append(crash.life)
+        suspect.last_crash_ms = now_ms
         self._suspect_by_fingerprint.move_to_end(fingerprint)
-        _trim(self._suspect_by_fingerprint, MOST_SUSPECTED)
-        if len(suspect.lives) < ENDINGS_TO_PROVE:
+        _trim(self._suspect_by_fingerprint, MAX_SUSPECTS)
+        if len(suspect.lives) < CRASHES_TO_QUARANTINE:
             return None
-        held = Quarantined(fingerprint, tuple(suspect.lives), source)
-        return held if self.hold(held, now_ms) else None
+        held = QuarantinedRequest(fingerprint, tuple(suspect.lives), source)
+        return held if self.quarantine(held, now_ms) else None
 
-    def hold(self, quarantined: Quarantined, now_ms: int) -> bool:
+    def quarantine(self, request: QuarantinedRequest, now_ms: int) -> bool:
         """Keep a request from all servers; return whether that is news."""
-        fingerprint = quarantined.fingerprint
-        if fingerprint in self._held_by_fingerprint or self._was_lifted(fingerprint, now_ms):
+        fingerprint = request.fingerprint
+        if fingerprint in self._entry_by_fingerprint or self._was_recently_lifted(
+            fingerprint, now_ms
+        ):
             return False
-        self._held_by_fingerprint[fingerprint] = _Held(now_ms, quarantined)
-        _trim(self._held_by_fingerprint, MOST_QUARANTINED)
+        self._entry_by_fingerprint[fingerprint] = _QuarantineEntry(now_ms, request)
+        _trim(self._entry_by_fingerprint, MAX_QUARANTINED)
         return True
 
     def lift(self, fingerprint: str, now_ms: int) -> bool:
         """Let a request reach servers again; return whether it was quarantined."""
         self._suspect_by_fingerprint.pop(fingerprint, None)
-        for ending in [ending for ending in self._own if ending.fingerprint == fingerprint]:
-            del self._own[ending]
+        for ending in [
+            ending for ending in self._own_crash_ms if ending.fingerprint == fingerprint
+        ]:
+            del self._own_crash_ms[ending]
         self._lifted_ms_by_fingerprint[fingerprint] = now_ms
         self._lifted_ms_by_fingerprint.move_to_end(fingerprint)
-        _trim(self._lifted_ms_by_fingerprint, MOST_SUSPECTED)
-        return self._held_by_fingerprint.pop(fingerprint, None) is not None
+        _trim(self._lifted_ms_by_fingerprint, MAX_SUSPECTS)
+        return self._entry_by_fingerprint.pop(fingerprint, None) is not None
 
-    def completed(self, fingerprint: str, now_ms: int) -> bool:
+    def record_completed(self, fingerprint: str, now_ms: int) -> bool:
         """Take that a server has answered a request whole: it is not to blame.
 
         :return: whether it was quarantined.
         """
-        if fingerprint in self._suspect_by_fingerprint or fingerprint in self._held_by_fingerprint:
+        if fingerprint in self._suspect_by_fingerprint or fingerprint in self._entry_by_fingerprint:
             return self.lift(fingerprint, now_ms)
         return False
 
-    def _was_lifted(self, fingerprint: str, now_ms: int) -> bool:
+    def _was_recently_lifted(self, fingerprint: str, now_ms: int) -> bool:
         lifted_ms = self._lifted_ms_by_fingerprint.get(fingerprint)
-        return lifted_ms is not None and now_ms - lifted_ms <= LIFTED_MS
+        return lifted_ms is not None and now_ms - lifted_ms <= IGNORE_AFTER_LIFT_MS
 
     def is_quarantined(self, fingerprint: str) -> bool:
         """Tell whether a request must reach no server."""
-        return fingerprint in self._held_by_fingerprint
+        return fingerprint in self._entry_by_fingerprint
 
-    def expired(self, now_ms: int) -> list[str]:
+    def lift_expired(self, now_ms: int) -> list[str]:
         """Lift what has been quarantined for long enough, and return it."""
         ended = [
             fingerprint
-            for fingerprint, held in self._held_by_fingerprint.items()
-            if now_ms - held.at_ms > QUARANTINED_MS
+            for fingerprint, held in self._entry_by_fingerprint.items()
+            if now_ms - held.quarantined_ms > QUARANTINE_TTL_MS
         ]
         for fingerprint in ended:
             self.lift(fingerprint, now_ms)
         return ended
 
-    def has_seen(self, fingerprint: str) -> bool:
+    def has_seen_crash(self, fingerprint: str) -> bool:
         """Tell whether this node has seen a server end under a request."""
-        return any(ending.fingerprint == fingerprint for ending in self._own)
+        return any(ending.fingerprint == fingerprint for ending in self._own_crash_ms)
 
-    def own_endings(self, now_ms: int, within_ms: int, most: int) -> tuple[Ending, ...]:
+    def own_crashes(self, now_ms: int, max_age_ms: int, max_count: int) -> tuple[ServerCrash, ...]:
         """Return the newest of what this node has lately seen itself."""
-        newest_first = islice(reversed(self._own.items()), most)
-        recent = [ending for ending, at_ms in newest_first if now_ms - at_ms <= within_ms]
+        newest_first = islice(reversed(self._own_crash_ms.items()), max_count)
+        recent = [ending for ending, at_ms in newest_first if now_ms - at_ms <= max_age_ms]
         return tuple(reversed(recent))
 
-    def quarantined(self, most: int | None = None) -> list[Quarantined]:
+    def quarantined(self, max_count: int | None = None) -> list[QuarantinedRequest]:
         """Return the quarantined requests, the newest last."""
-        held = [held.quarantined for held in self._held_by_fingerprint.values()]
-        return held if most is None else held[-most:]
+        held = [held.request for held in self._entry_by_fingerprint.values()]
+        return held if max_count is None else held[-max_count:]
 
 
-def _trim(table: OrderedDict, most: int) -> None:
-    while len(table) > most:
+def _trim(table: OrderedDict, max_size: int) -> None:
+    while len(table) > max_size:
         table.popitem(last=False)
--- a/tests/entry/test_restarts.py
+++ b/tests/entry/test_restarts.py
@@ -99,18 +99,18 @@
     """
     fleet.generate(one, "a1", "r0")
     beliefs, clock = one.daemon.beliefs, one.daemon.clock
-    placement = one.daemon.gateway._engines.placement
+    placement = one.daemon.gateway._runner_chooser.placement
     for version in (2, 3, 4):
         fleet.servers[0].newest["a1"] = version
         body = {"model": MODEL, "adapter": "a1", "version": version}
         fleet.store.put("op", f"version/{MODEL}.a1", body)
         wait_for(lambda version=version: beliefs.version_by_adapter.get("m/a1") == version)
         gevent.sleep(0.3)
-    until_ms = [placement.begins_until_ms("m/a1", version) for version in (1, 2, 3)]
+    until_ms = [placement.start_deadline_ms("m/a1", version) for version in (1, 2, 3)]
     assert until_ms == sorted(until_ms)
     assert until_ms[2] - until_ms[0] >= 500
     assert until_ms[0] <= clock.now_ms() - 600 + one.daemon.settings.bounds.version_ms
-    assert placement.begins_until_ms("m/a1", 4) is None
+    assert placement.start_deadline_ms("m/a1", 4) is None
     assert fleet.generate(one, "a1", "r1").head.status == 200
 
 
--- a/tests/fleet/retry_fleet.py
+++ b/tests/fleet/retry_fleet.py
@@ -13,7 +13,7 @@
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
-from monsoonflow.gateway.budget import SharedRetries
+from monsoonflow.gateway.budget import SharedRetryBudget
 from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance
 
 SERVICE = "s"
@@ -61,7 +61,7 @@
     card: NodeRecord
     view: FleetView
     budget: FleetRetryBudget
-    retries: SharedRetries
+    retries: SharedRetryBudget
     rounds: HeartbeatRounds
     started_ms: int
     sequence: int = 0
@@ -127,7 +127,7 @@
         for other in self.nodes:
             if other.process is not None and other is not node:
                 view.add_record(other.process.card)
-        retries = SharedRetries(budget, view, self.clock, lambda: node.active)
+        retries = SharedRetryBudget(budget, view, self.clock, lambda: node.active)
         node.process = _Process(
             card, view, budget, retries, HeartbeatRounds(name), self.clock.now_ms()
         )
@@ -182,20 +182,20 @@
         self.judge.requests_ms.append(now_ms)
         if process is None:
             return
-        process.retries.first(SERVICE)
+        process.retries.record_request(SERVICE)
         process.busy_until_ms = now_ms + WORK_MS
         self._failed_or_not(process, now_ms)
 
     def _failed_or_not(self, process: _Process, now_ms: int) -> None:
         """Let a server fail a request that has reached it, or not."""
-        if self.rng.random() < self.fails and process.retries.may_retry(SERVICE).is_allowed:
+        if self.rng.random() < self.fails and process.retries.reserve_retry(SERVICE).is_allowed:
             process.waiting.append(now_ms + self.rng.randint(0, self.wait_ms))
 
     def _send(self, process: _Process, now_ms: int) -> None:
         due = [at_ms for at_ms in process.waiting if at_ms <= now_ms]
         process.waiting = [at_ms for at_ms in process.waiting if at_ms > now_ms]
         for _ in due:
-            process.retries.sent(SERVICE)
+            process.retries.record_retry_sent(SERVICE)
             insort(self.judge.again_ms, now_ms)
             self._failed_or_not(process, now_ms)
 
@@ -206,7 +206,7 @@
                 continue
             now_ms = self.clock.now_ms()
             for _ in range(each):
-                if node.process.retries.may_retry(SERVICE).is_allowed:
+                if node.process.retries.reserve_retry(SERVICE).is_allowed:
                     node.process.waiting.append(now_ms + self.rng.randint(0, self.wait_ms))
 
     def release(self) -> None:
@@ -230,7 +230,7 @@
             True,
             retry_usage_by_service=process.budget.usage_by_service(now_ms),
             is_active=active,
-            retry_history=process.retries.memory(),
+            retry_history=process.retries.retry_history(),
         )
         others = {other.name: other for other in self.nodes if other is not node}
         near = view.active_peer_names() if active else ()
--- a/tests/fleet/test_retry_budget_of_a_fleet.py
+++ b/tests/fleet/test_retry_budget_of_a_fleet.py
@@ -27,8 +27,8 @@
     begun_ms = fleet.clock.now_ms()
     for _ in range(400):
         fleet.run(20)
-        if fleet.nodes[0].process.retries.may_retry("s").is_allowed:
-            fleet.nodes[0].process.retries.sent("s")
+        if fleet.nodes[0].process.retries.reserve_retry("s").is_allowed:
+            fleet.nodes[0].process.retries.record_retry_sent("s")
             fleet.judge.again_ms.append(fleet.clock.now_ms())
     allowed = 0.2 * sum(at_ms >= begun_ms - 2_000 for at_ms in fleet.judge.requests_ms) + 52
     assert 0.6 * allowed <= len(fleet.judge.again_ms) <= allowed
--- a/tests/fleet/test_signs.py
+++ b/tests/fleet/test_signs.py
@@ -22,7 +22,7 @@
     WorkDelta,
 )
 from monsoonflow.fleet.view import FleetView
-from monsoonflow.gateway.budget import SharedRetries
+from monsoonflow.gateway.budget import SharedRetryBudget
 from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, RetryUsage
 from monsoonflow.routing.in_flight import ServerWork
 
@@ -47,7 +47,7 @@
     active: bool
     phase_ms: int
     budget: FleetRetryBudget
-    retries: SharedRetries
+    retries: SharedRetryBudget
     sequence: int = 0
     up: bool = True
     requests: int = 0
@@ -71,7 +71,7 @@
             claims=(claim,) if claim is not None and claim.holder == name else (),
             residency=None,
             is_active=self.active or name in self.view.holder_and_standby_names(),
-            retry_history=self.retries.memory(),
+            retry_history=self.retries.retry_history(),
         )
 
 
@@ -93,7 +93,7 @@
         card = NodeRecord(name, f"b-{name}", "dc", f"{name}:1", f"{name}:2", f"{name}:3")
         phase_ms = self.rng.randrange(0, HEARTBEAT_INTERVAL_MS, STEP_MS)
         view, budget = FleetView(name), FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
-        retries = SharedRetries(budget, view, self.clock, partial(self._is_active, name))
+        retries = SharedRetryBudget(budget, view, self.clock, partial(self._is_active, name))
         return Node(card, view, HeartbeatRounds(name), active, phase_ms, budget, retries)
 
     def _is_active(self, name: str) -> bool:
@@ -234,8 +234,8 @@
     """
     newcomer = fleet.idle()[-1]
     budget = FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
-    retries = SharedRetries(budget, newcomer.view, fleet.clock)
-    allowed = sum(retries.may_retry("s").is_allowed for _ in range(430))
+    retries = SharedRetryBudget(budget, newcomer.view, fleet.clock)
+    allowed = sum(retries.reserve_retry("s").is_allowed for _ in range(430))
     assert 1 <= allowed <= 430 / 30
 
 
@@ -246,7 +246,7 @@
     fleet.run(4_000)
     allowed = 0
     for node in fleet.active():
-        while node.retries.may_retry("s").is_allowed:
+        while node.retries.reserve_retry("s").is_allowed:
             allowed += 1
     assert 430 * 0.85 - 40 <= allowed <= 430 * 0.85
 
@@ -307,7 +307,7 @@
     view.add_record(CARD)
     view.receive_short(attrs.evolve(SIGN, retry_usage_by_service={"s": RetryUsage(9, 2)}), 0)
     budget = FleetRetryBudget(RetryAllowance(0.2, 430, 10_000))
-    others = SharedRetries(budget, view, ManualClock(100)).others("s")
+    others = SharedRetryBudget(budget, view, ManualClock(100)).peer_usage("s")
     assert others.reported == (RetryUsage(9, 2),)
     assert (others.sharing_nodes, others.connected_nodes) == (1, 1)
 
--- a/tests/fleet/test_view.py
+++ b/tests/fleet/test_view.py
@@ -25,8 +25,8 @@
     RetryHistory,
 )
 from monsoonflow.fleet.view import ALIVE_TIMEOUT_MS, FleetView
-from monsoonflow.gateway.budget import SharedRetries
-from monsoonflow.quarantine.models import Ending
+from monsoonflow.gateway.budget import SharedRetryBudget
+from monsoonflow.quarantine.models import ServerCrash
 from monsoonflow.routing.budget import FleetRetryBudget, RetryAllowance, RetryUsage
 from monsoonflow.routing.in_flight import ServerWork
 
@@ -50,7 +50,7 @@
     added_servers=(ServerLife.of("i-2", 1_764_718_000_123),),
     overloaded_runners={ServerLife("i-1"): {0: 2_000, 1: 30_000}},
     retry_history=RetryHistory(9_000, frozenset({"a", "c"}), {"s": 3}, 2),
-    crashes=(Ending("f1", ServerLife("i-7")),),
+    crashes=(ServerCrash("f1", ServerLife("i-7")),),
     quarantined_fingerprints=("f9",),
 )
 
@@ -133,23 +133,23 @@
 def test_the_retries_of_a_silent_node_count_until_the_window_has_passed(view):
     clock = ManualClock()
     budget = FleetRetryBudget(RetryAllowance(0.2, 54, 10_000))
-    retries = SharedRetries(budget, view, clock)
+    retries = SharedRetryBudget(budget, view, clock)
     clock.advance(10_000)
-    assert retries.others("s").past_retries == 2
+    assert retries.peer_usage("s").past_retries == 2
     clock.advance(1)
-    assert retries.others("s").past_retries == 0
+    assert retries.peer_usage("s").past_retries == 0
 
 
 def test_the_word_of_a_node_that_does_not_hear_this_one_is_no_share_of_it(view):
     """Packets are lost one way: the other spends by what it heard before, and so would this one."""
     clock = ManualClock()
-    retries = SharedRetries(FleetRetryBudget(RetryAllowance(0.2, 54, 10_000)), view, clock)
-    others = retries.others("s")
+    retries = SharedRetryBudget(FleetRetryBudget(RetryAllowance(0.2, 54, 10_000)), view, clock)
+    others = retries.peer_usage("s")
     assert (others.connected_nodes, others.sharing_nodes, others.past_retries) == (2, 2, 0)
     assert others.reported == (RetryUsage(10, 2),)
     deaf = RetryHistory(10_000, frozenset({"c"}))
     view.receive(attrs.evolve(REPORT, sequence=8, retry_history=deaf), 0)
-    others = retries.others("s")
+    others = retries.peer_usage("s")
     assert (others.connected_nodes, others.sharing_nodes, others.past_retries) == (1, 2, 2)
 
 
@@ -158,11 +158,11 @@
     clock = ManualClock(5_000)
     view = FleetView("a")
     budget = FleetRetryBudget(RetryAllowance(0.2, 54, 10_000), started_ms=5_000)
-    retries = SharedRetries(budget, view, clock)
-    assert not retries.others("s").is_entitled
+    retries = SharedRetryBudget(budget, view, clock)
+    assert not retries.peer_usage("s").is_entitled
     memory = RetryHistory(10_000, frozenset({"a"}), {"s": 40}, 1)
     view.receive(attrs.evolve(REPORT, retry_history=memory), 5_000)
-    others = retries.others("s")
+    others = retries.peer_usage("s")
     assert (others.is_entitled, others.past_retries, others.ended_processes) == (True, 40, 1)
 
 
@@ -175,19 +175,22 @@
         view.receive(attrs.evolve(REPORT, record=card, **change), 0)
         view.receive(attrs.evolve(REPORT, record=attrs.evolve(card, boot="b-2"), sequence=1), 500)
     budget = FleetRetryBudget(RetryAllowance(0.2, 54, 10_000))
-    assert SharedRetries(budget, view, ManualClock(600)).others("s").ended_processes == 0
+    assert SharedRetryBudget(budget, view, ManualClock(600)).peer_usage("s").ended_processes == 0
 
 
 def test_the_retries_of_a_process_that_has_ended_stay_in_the_window(view):
     view.receive(attrs.evolve(REPORT, record=attrs.evolve(CARD, boot="b-2"), sequence=1), 500)
     clock = ManualClock(10_499)
-    retries = SharedRetries(FleetRetryBudget(RetryAllowance(0.2, 54, 10_000)), view, clock)
-    assert (retries.memory().past_retries_by_service, retries.memory().ended_processes) == (
+    retries = SharedRetryBudget(FleetRetryBudget(RetryAllowance(0.2, 54, 10_000)), view, clock)
+    assert (
+        retries.retry_history().past_retries_by_service,
+        retries.retry_history().ended_processes,
+    ) == (
         {"s": 2},
         1,
     )
     clock.advance(1)
-    assert retries.memory().past_retries_by_service == {}
+    assert retries.retry_history().past_retries_by_service == {}
 
 
 def test_work_is_summed_over_the_others(view):
--- a/tests/gateway/crowd.py
+++ b/tests/gateway/runner_simulation.py
@@ -16,9 +16,9 @@
 from monsoonflow.fleet.models import CellLeaseClaim, Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.gateway.backlog import Backlog
-from monsoonflow.gateway.engines import EngineChooser
 from monsoonflow.gateway.job import Job
 from monsoonflow.gateway.models import Call, Chosen, NoServer
+from monsoonflow.gateway.runner_chooser import RunnerChooser
 from monsoonflow.routing.health import HealthTracker
 from monsoonflow.routing.in_flight import InFlight, ServerWork, Ticket
 from monsoonflow.routing.overload import overloaded_runners
@@ -52,7 +52,7 @@
     held: dict[str, dict[ServerLife, int]]
     asked: int = 0
 
-    def holders(self, adapter: str) -> dict[ServerLife, int]:
+    def runners_with_adapter(self, adapter: str) -> dict[ServerLife, int]:
         """Return who holds an adapter."""
         return self.held.get(adapter, {})
 
@@ -60,12 +60,12 @@
         """Return that no version was named."""
         return None
 
-    def ask(self, *_: object, **__: object) -> NoServer:
+    def request_slot(self, *_: object, **__: object) -> NoServer:
         """Refuse."""
         self.asked += 1
         return NoServer("no place", 500)
 
-    def begins_until_ms(self, adapter: str, version: int) -> int | None:
+    def start_deadline_ms(self, adapter: str, version: int) -> int | None:
         """Return no bound."""
         return None
 
@@ -89,7 +89,7 @@
     view: FleetView
     in_flight: InFlight
     backlog: Backlog
-    chooser: EngineChooser
+    chooser: RunnerChooser
     rounds: HeartbeatRounds
     sequence: int = 0
 
@@ -112,7 +112,7 @@
             life for r in self.view.heartbeats(now_ms, 2_000) for life in r.work_by_server
         }:
             total[life] = self.backlog.work_at(life, "s", now_ms)
-        pace = self.backlog.pace.tokens_per_ms(None, now_ms)
+        pace = self.backlog.prefill_rate.tokens_per_ms(None, now_ms)
         return attrs.evolve(
             report, claims=(claim,), overloaded_runners=overloaded_runners(total, pace)
         )
@@ -154,7 +154,7 @@
     def _node(self, name: str, book: ServerRegistry) -> Node:
         view, in_flight = FleetView(name), InFlight()
         backlog = Backlog(in_flight, view)
-        chooser = EngineChooser(
+        chooser = RunnerChooser(
             book, backlog, HealthTracker(), self.placement, self.clock, self.rng, "dc"
         )
         card = NodeRecord(name, "b", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3")
@@ -172,12 +172,12 @@
             self.refused += 1
             return found
         self.sent += 1
-        node.backlog.sent(found, now_ms)
+        node.backlog.record_sent(found, now_ms)
         ticket = node.in_flight.begin(
             found.life,
             now_ms,
             adapter,
-            found.unread_tokens,
+            found.prefill_tokens,
             found.memory_tokens,
             job.rank_at(now_ms),
         )
@@ -209,14 +209,14 @@
     def _read(self, life: ServerLife, now_ms: int) -> None:
         queue = self.queues[life]
         for waits in list(queue):
-            if now_ms >= waits.job.taken_back_ms():
+            if now_ms >= waits.job.cancel_at_ms():
                 waits.node.in_flight.end(waits.ticket)
                 queue.remove(waits)
                 self.taken_back += 1
                 self.lost += 1
             elif now_ms >= waits.job.request.arrived_ms + LEAVES_MS:
                 waited_ms = now_ms - waits.ticket.sent_ms
-                waits.node.backlog.no_first_event(waits.chosen, waited_ms, now_ms)
+                waits.node.backlog.record_missing_first_event(waits.chosen, waited_ms, now_ms)
                 waits.node.in_flight.end(waits.ticket)
                 queue.remove(waits)
                 self.lost += 1
@@ -234,5 +234,5 @@
         self.read += 1
         self.read_by_life[waits.chosen.life] += 1
         self.waits_ms.append(now_ms - waits.job.request.arrived_ms)
-        waits.node.backlog.first_event(waits.chosen, now_ms - waits.ticket.sent_ms, now_ms)
+        waits.node.backlog.record_first_event(waits.chosen, now_ms - waits.ticket.sent_ms, now_ms)
         waits.node.in_flight.end(waits.ticket)
--- a/tests/gateway/test_offer.py
+++ b/tests/gateway/test_attempt.py
@@ -11,8 +11,8 @@
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.discovery.models import BackendServer
 from monsoonflow.discovery.registry import ServerRegistry
+from monsoonflow.gateway.attempt import Attempt
 from monsoonflow.gateway.models import Call, Chosen, Unsent
-from monsoonflow.gateway.offer import Offer
 from monsoonflow.platform.headers import HeaderDialect
 from monsoonflow.transport.const import CONNECT_TIMEOUT_MS
 from monsoonflow.transport.models import Lost, Request
@@ -68,8 +68,8 @@
         """Tell that the caller is there."""
 
 
-def offer_over(pools: SlowConnection, book: ServerRegistry) -> Offer:
-    return Offer(
+def offer_over(pools: SlowConnection, book: ServerRegistry) -> Attempt:
+    return Attempt(
         pools,
         HeaderDialect(),
         REQUEST,
@@ -109,7 +109,7 @@
     """A connection takes 450 ms: told what was left before it, the server works for nobody."""
     clock = ManualClock(1_000)
     pools = SlowConnection(clock, lambda: None)
-    offer = Offer(pools, HeaderDialect(), REQUEST, Call("r", "h", "/a/"), 4_000, 4_000)
+    offer = Attempt(pools, HeaderDialect(), REQUEST, Call("r", "h", "/a/"), 4_000, 4_000)
     chosen = Chosen(LIFE, "10.0.0.1:80")
     offer.send(chosen, lambda: b"%d" % (4_000 - clock.now_ms()), Caller(), None)
     assert pools.sent == [b"2550"]
@@ -122,7 +122,7 @@
     Waited for as long as for any connection, 500 ms, the caller was answered after its time.
     """
     pools = NoConnection(ManualClock(1_000))
-    offer = Offer(
+    offer = Attempt(
         pools, HeaderDialect(), REQUEST, Call("r", "h", "/a/"), 1_000 + left_ms, 1_000 + left_ms
     )
     assert isinstance(offer.send(Chosen("i", "127.0.0.1:1"), lambda: b"", None, None), Unsent)
--- a/tests/gateway/test_crowded_runners.py
+++ b/tests/gateway/test_overloaded_runners.py
@@ -6,7 +6,7 @@
 
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.gateway.models import Chosen, NoServer
-from tests.gateway.crowd import ROUTE, TOKENS_PER_MS, Crowd, NoPlaces
+from tests.gateway.runner_simulation import ROUTE, TOKENS_PER_MS, Crowd, NoPlaces
 
 HOT, OTHER = ServerLife("i-1"), ServerLife("i-2")
 
@@ -77,7 +77,7 @@
     assert isinstance(crowd.arrive(node, "a"), NoServer)
     urgent = crowd.arrive(node, "a", attrs.evolve(ROUTE, priority=0))
     assert isinstance(urgent, Chosen)
-    assert urgent.queue.unread_tokens == 0
+    assert urgent.queue.pending_prefill_tokens == 0
 
 
 @attrs.define
@@ -86,7 +86,7 @@
 
     until_ms: int = 0
 
-    def begins_until_ms(self, adapter: str, version: int) -> int | None:
+    def start_deadline_ms(self, adapter: str, version: int) -> int | None:
         """Return the bound."""
         return self.until_ms
 
--- a/tests/gateway/test_comes_back.py
+++ b/tests/gateway/test_returning_callers.py
@@ -14,7 +14,7 @@
 from monsoonflow.gateway.handler import Gateway
 from monsoonflow.gateway.job import Job
 from monsoonflow.gateway.models import NoServer
-from monsoonflow.gateway.record import Record
+from monsoonflow.gateway.request_log import RequestLog
 from monsoonflow.platform.headers import HeaderDialect
 from monsoonflow.routing.caller_timeouts import TypicalCallerTimeouts
 from monsoonflow.routing.in_flight import InFlight
@@ -51,14 +51,14 @@
 class NoRetries:
     """A budget that counts nothing."""
 
-    def first(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request."""
 
 
 class NoQuarantine:
     """A quarantine that holds nothing."""
 
-    def refuses(self, fingerprint: str) -> bool:
+    def is_quarantined(self, fingerprint: str) -> bool:
         """Refuse nothing."""
         return False
 
@@ -87,7 +87,7 @@
         chooser,
         chooser,
         random.Random(1),
-        Record(clock, EntryMetrics()),
+        RequestLog(clock, EntryMetrics()),
     )
 
 
@@ -111,7 +111,7 @@
     for _ in range(20):
         ask(gateway, 4_000)
     ask(gateway, 1_000)
-    assert [job.on_time_until_ms() for job in chooser.jobs[-2:]] == [10_800, 7_800]
+    assert [job.objective_deadline_ms() for job in chooser.jobs[-2:]] == [10_800, 7_800]
 
 
 def test_many_that_come_back_do_not_pass_for_first_ones():
@@ -137,4 +137,4 @@
     """
     for number in range(80):
         ask(gateway, 15_000 - 29 * (number * 37 % 80))
-    assert {job.on_time_until_ms() for job in chooser.jobs[16:]} == {10_800}
+    assert {job.objective_deadline_ms() for job in chooser.jobs[16:]} == {10_800}
--- a/tests/gateway/test_slow_runners.py
+++ b/tests/gateway/test_slow_runners.py
@@ -5,8 +5,8 @@
 import pytest
 
 from monsoonflow.core.server_life import ServerLife
-from tests.gateway.crowd import Crowd, NoPlaces
-from tests.gateway.test_crowded_runners import arrivals
+from tests.gateway.runner_simulation import Crowd, NoPlaces
+from tests.gateway.test_overloaded_runners import arrivals
 
 LIVES = tuple(ServerLife(f"i-{number}") for number in range(12))
 SLOW = LIVES[:3]
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -14,7 +14,7 @@
 from monsoonflow.core.adapter import AdapterRef
 from monsoonflow.core.clock import MonotonicClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.gateway.models import Malformed, Onward
+from monsoonflow.gateway.models import ForwardedRequest, Malformed
 from monsoonflow.helpers.settings import SettingError
 from monsoonflow.orders.models import (
     Accepted,
@@ -222,8 +222,8 @@
         )
     )
     assert (call.model, call.adapter) == ("m", "m/a17")
-    assert (call.prompt_tokens, call.output_tokens) == (1_460, 80)
-    assert (call.session, call.deadline_ms, call.last_event) == ("e4402b7d", 4_000, b"12")
+    assert (call.prompt_tokens, call.max_output_tokens) == (1_460, 80)
+    assert (call.session, call.deadline_ms, call.last_event_id) == ("e4402b7d", 4_000, b"12")
     assert call.path == "/a/b"
 
 
@@ -241,9 +241,9 @@
 
 
 def test_the_head_to_a_server_keeps_the_callers_and_adds_ours():
-    head = HeaderDialect().onward_head(
+    head = HeaderDialect().forwarded_head(
         request((b"X-a", b"1"), (b"Connection", b"close"), (b"Last-Event-Id", b"3"), body=b"xy"),
-        Onward(1_234, ServerLife("i-1"), priority=2, expect_version=4, last_event=b"9"),
+        ForwardedRequest(1_234, ServerLife("i-1"), rank=2, expect_version=4, last_event_id=b"9"),
     )
     lines = head.decode().split("\r\n")
     assert lines[0] == "POST /a/b?c=1 HTTP/1.1"
