--- a/monsoonflow/orders/__init__.py
+++ b/monsoonflow/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Gives orders to model runners, one holder a cell at a time."""
+"""Orders to model runners, sent by the lease holder of their cell."""
--- a/monsoonflow/orders/models.py
+++ b/monsoonflow/orders/models.py
@@ -1,4 +1,4 @@
-"""Orders to model runners and tagged answers."""
+"""Orders to model runners and their results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Operation(enum.Enum):
-    """What a runner can be ordered to do."""
+    """An operation that a runner can be ordered to carry out."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -25,11 +25,11 @@
     """One order to a runner.
 
     :param name: a base model, or ``MODEL/ADAPTER``.
-    :param version: of the adapter; ``None`` takes the newest.
-    :param sequence: how many orders the runner must have accepted before this one: one that was
-        overtaken by another is then refused, however late it is carried out.
-    :param holder: names the VM that gives orders.
-    :param fence: the fencing number of its duty.
+    :param version: version of the adapter; ``None`` loads the newest.
+    :param sequence: number of orders that the runner must have accepted before this one. An order
+        that was overtaken by another is refused, however late it reaches the runner.
+    :param holder: name of the VM that sends the order, the lease holder of the cell.
+    :param fence: fencing token of its cell lease.
     """
 
     operation: Operation
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The runner took the order.
+    """The runner accepted the order.
 
-    :param complete: it holds already; otherwise it is being carried out.
+    :param complete: whether the order has been carried out; otherwise it is in progress.
     """
 
     complete: bool
@@ -52,31 +52,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """The runner is busy or has accepted other orders since; nothing was done."""
+    """The runner is busy or has accepted other orders meanwhile; the order had no effect."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """The runner has seen a higher fencing number: another node holds the duty."""
+    """The runner has seen a higher fencing token: another node holds the cell lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class Gone:
-    """Another server answers at the runner's address: the runner is no more."""
+    """Another server answers at the runner's address: the runner no longer exists."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unanswered:
-    """No answer came; the order may be carried out now, later or never."""
+    """No response arrived; the order may be carried out now, later or never."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unusable:
-    """The order did not reach the runner, or the runner can't take it; nothing was done."""
+    """The order did not reach the runner or the runner rejected it; the order had no effect."""
 
     reason: str
 
@@ -86,12 +86,12 @@
 
 @attrs.frozen(slots=True)
 class RunnerReport:
-    """What a runner says of itself.
+    """The state that a runner reports about itself.
 
-    :param life: which of its lives speaks.
-    :param sequence: how many orders it has accepted since its start.
-    :param busy: whether it is loading or dropping a base model.
-    :param incoming: adapters that are on their way to it.
+    :param life: the run of the runner's process that sent the report.
+    :param sequence: number of orders that it has accepted since its start.
+    :param is_changing_model: whether it is loading or unloading a base model.
+    :param loading_adapters: adapters that it is loading.
     """
 
     life: ServerLife
@@ -106,13 +106,13 @@
 
 
 class RunnerControl(Protocol):
-    """Reaches runners for orders and reports."""
+    """Sends orders to runners and fetches their reports."""
 
     def fetch_report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
-        """Return what a runner says of itself; ``None`` when it does not answer."""
+        """Return a runner's report; ``None`` when the runner does not answer."""
 
     def send_order(self, life: ServerLife, address: str, order: Order) -> OrderResult:
-        """Send an order once."""
+        """Send an order once and return its result."""
 
     def close_connections(self, address: str) -> None:
-        """Close the connections to a runner that is gone."""
+        """Close the connections to a runner that no longer exists."""
