--- a/monsoonflow/placement/cached_copies.py
+++ b/monsoonflow/placement/cached_copies.py
@@ -1,4 +1,4 @@
-"""Tells which runners keep a copy of an adapter, without a look at each runner."""
+"""Index of the runners that keep a cached copy of an adapter."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class CachedCopies:
-    """The runners that are thought to keep a copy, by adapter.
-
-    >>> kept = CachedCopies()
-    >>> ref = AdapterRef("m/a1", 2)
-    >>> kept.add(ref, ServerLife("i-1"))
-    >>> kept.add(ref, ServerLife("i-2"))
-    >>> kept.remove(ref, ServerLife("i-1"))
-    >>> list(kept.runners_with(ref)), list(kept.runners_with(AdapterRef("m/a1", 3)))
+    """The runners that are expected to keep a cached copy, by adapter version.
+
+    >>> cached_copies = CachedCopies()
+    >>> ref, newer_ref = AdapterRef("m/a1", 2), AdapterRef("m/a1", 3)
+    >>> cached_copies.add(ref, ServerLife("i-1"))
+    >>> cached_copies.add(ref, ServerLife("i-2"))
+    >>> cached_copies.remove(ref, ServerLife("i-1"))
+    >>> list(cached_copies.runners_with(ref)), list(cached_copies.runners_with(newer_ref))
     (['i-2'], [])
     """
 
@@ -24,15 +24,15 @@
         self._lives_by_ref: dict[AdapterRef, dict[ServerLife, None]] = {}
 
     def runners_with(self, ref: AdapterRef) -> Collection[ServerLife]:
-        """Return the runners that keep a copy."""
+        """Return the runners that keep a cached copy of an adapter version."""
         return self._lives_by_ref.get(ref, ())
 
     def add(self, ref: AdapterRef, life: ServerLife) -> None:
-        """Note that a runner keeps a copy."""
+        """Record that a runner keeps a cached copy."""
         self._lives_by_ref.setdefault(ref, {})[life] = None
 
     def remove(self, ref: AdapterRef, life: ServerLife) -> None:
-        """Note that a runner keeps a copy no longer, or is gone."""
+        """Record that a runner no longer keeps a cached copy, or was removed."""
         lives = self._lives_by_ref.get(ref)
         if lives is None:
             return
--- a/monsoonflow/placement/candidate_runners.py
+++ b/monsoonflow/placement/candidate_runners.py
@@ -1,4 +1,4 @@
-"""What a plan has to give: one look at all runners, for all who wait."""
+"""The runners that a plan can order to load adapters, indexed once for all queued requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .slots import MAX_CONCURRENT_LOADS, RunnerSlots, Slot, SlotState
 
 OVERLOADED_TOKENS: Final = 6_000
-"""Unread prompt tokens at a runner beyond which others are preferred: some 300 ms of reading."""
+"""Pending prefill tokens at a runner beyond which others are preferred: about 300 ms of prefill."""
 
 _NO_WORK: Final = ServerWork()
 
@@ -22,9 +22,11 @@
 
 @attrs.define(slots=True, eq=False)
 class CandidateRunner:
-    """A runner that takes orders.
+    """A runner that accepts orders.
 
-    :param room: it has a free place, or can make one.
+    :param work: requests of all nodes in progress at the runner.
+    :param has_room: whether it has a free slot or an idle one.
+    :param is_overloaded: whether its pending prefill exceeds ``OVERLOADED_TOKENS``.
     """
 
     runner: RunnerSlots
@@ -34,15 +36,18 @@
 
 
 class CandidateRunners:
-    """The runners that take orders, and what is on its way.
+    """The runners that accept orders, and the loads in progress.
 
-    Looked at again for each of 64 who wait, 45 runners with 5 places made a plan take three times
-    as long.
+    Examining 45 runners with 5 slots each again for each of 64 queued requests made a plan take
+    three times as long.
 
-    :param on_its_way: tells whether a load that began so long ago may still be on its way.
-    :param now_ms: of the plan.
-    :param idle_places: places that nothing used, over all runners, when the plan began.
-    :param cold_incoming: adapters on their way from the weight store.
+    :param now_ms: time of the plan.
+    :param work: requests of all nodes in progress, by runner.
+    :param may_be_in_progress: tells whether a load that started this many milliseconds ago may
+        still be in progress.
+
+    ``idle_slot_count`` is the number of free and idle slots of all runners when the plan began, and
+    ``cold_loads_in_progress`` the number of adapters being fetched from the weight store.
     """
 
     def __init__(
@@ -50,85 +55,87 @@
         idle: IdleSlots,
         now_ms: int,
         work: Mapping[ServerLife, ServerWork],
-        on_its_way: Callable[[int], bool],
+        may_be_in_progress: Callable[[int], bool],
     ) -> None:
-        self._on_its_way = on_its_way
+        self._may_be_in_progress = may_be_in_progress
         self._idle = idle
         self.now_ms = now_ms
         self._work = work
-        self._taker_by_life: dict[ServerLife, CandidateRunner] = {}
-        self._roomy: dict[ServerLife, CandidateRunner] = {}
-        self._cold_by_life: dict[ServerLife, int] = {}
-        self._loading: dict[str, list[SlotOnRunner]] = {}
-        self._lives_by_ready: dict[str, list[ServerLife]] = {}
+        self._candidate_by_life: dict[ServerLife, CandidateRunner] = {}
+        self._with_room_by_life: dict[ServerLife, CandidateRunner] = {}
+        self._cold_loads_by_life: dict[ServerLife, int] = {}
+        self._loading_by_name: dict[str, list[SlotOnRunner]] = {}
+        self._ready_lives_by_name: dict[str, list[ServerLife]] = {}
         self.idle_slot_count = 0
         self.cold_loads_in_progress = 0
         for runner in idle.runners.values():
-            self._note_seats(runner)
-            self.idle_slot_count += self._look_at(runner)
+            self._index_slots(runner)
+            self.idle_slot_count += self._add_runner(runner)
 
     def refresh(self, runner: RunnerSlots) -> None:
-        """Look anew at a runner that has just been given an order."""
-        self._taker_by_life.pop(runner.life, None)
-        self._roomy.pop(runner.life, None)
-        self.cold_loads_in_progress -= self._cold_by_life.pop(runner.life, 0)
-        self._look_at(runner)
+        """Update the entry of a runner that has just been given an order."""
+        self._candidate_by_life.pop(runner.life, None)
+        self._with_room_by_life.pop(runner.life, None)
+        self.cold_loads_in_progress -= self._cold_loads_by_life.pop(runner.life, 0)
+        self._add_runner(runner)
 
     def loading_slots(self, name: str) -> list[SlotOnRunner]:
-        """Return where an adapter was on its way when the plan began."""
-        return self._loading.get(name, [])
+        """Return where an adapter was being loaded when the plan began."""
+        return self._loading_by_name.get(name, [])
 
     def candidates_among(self, lives: Iterable[ServerLife]) -> list[CandidateRunner]:
-        """Return those of some runners that take orders."""
-        known = self._taker_by_life
-        return [taker for life in lives if (taker := known.get(life)) is not None]
+        """Return those of the given runners that accept orders."""
+        candidate_by_life = self._candidate_by_life
+        return [
+            candidate for life in lives if (candidate := candidate_by_life.get(life)) is not None
+        ]
 
     def candidates_for(self, name: str) -> Iterable[CandidateRunner]:
-        """Return the runners with room, and those that hold another version of an adapter."""
-        holders = self._lives_by_ready.get(name)
-        if not holders:
-            return self._roomy.values()
+        """Return the runners with room and those that hold any version of an adapter."""
+        ready_lives = self._ready_lives_by_name.get(name)
+        if not ready_lives:
+            return self._with_room_by_life.values()
         return {
-            **self._roomy,
-            **{t.runner.life: t for t in self.candidates_among(holders)},
+            **self._with_room_by_life,
+            **{c.runner.life: c for c in self.candidates_among(ready_lives)},
         }.values()
 
-    def _note_seats(self, runner: RunnerSlots) -> None:
+    def _index_slots(self, runner: RunnerSlots) -> None:
         life, ready = runner.life, SlotState.READY
-        lives_by_ready = self._lives_by_ready
-        for name, seat in runner.slots.items():
-            if seat.state is ready:
-                known = lives_by_ready.get(name)
-                if known is None:
-                    lives_by_ready[name] = [life]
+        ready_lives_by_name = self._ready_lives_by_name
+        for name, slot in runner.slots.items():
+            if slot.state is ready:
+                ready_lives = ready_lives_by_name.get(name)
+                if ready_lives is None:
+                    ready_lives_by_name[name] = [life]
                 else:
-                    known.append(life)
-            elif seat.state is SlotState.LOADING:
-                self._loading.setdefault(name, []).append((runner, seat))
+                    ready_lives.append(life)
+            elif slot.state is SlotState.LOADING:
+                self._loading_by_name.setdefault(name, []).append((runner, slot))
 
-    def _look_at(self, runner: RunnerSlots) -> int:
-        """Note what a runner can take; return how many of its places nothing uses."""
+    def _add_runner(self, runner: RunnerSlots) -> int:
+        """Add a runner if it accepts orders; return how many of its slots are free or idle."""
         life = runner.life
-        room = runner.available_slots(self.now_ms)
+        available = runner.available_slots(self.now_ms)
         idle = self._idle.idle_slots_of(runner, self.now_ms, self._work)
-        loading = runner.loading_slots()
-        if loading:
-            cold = self._cold_by_life[life] = sum(
-                seat.is_cold and self._on_its_way(self.now_ms - seat.state_since_ms)
-                for seat in loading
+        loading_slots = runner.loading_slots()
+        if loading_slots:
+            cold_loads = self._cold_loads_by_life[life] = sum(
+                slot.is_cold and self._may_be_in_progress(self.now_ms - slot.state_since_ms)
+                for slot in loading_slots
             )
-            self.cold_loads_in_progress += cold
-        if len(loading) < MAX_CONCURRENT_LOADS and _can_be_ordered(runner):
+            self.cold_loads_in_progress += cold_loads
+        if len(loading_slots) < MAX_CONCURRENT_LOADS and _accepts_orders(runner):
             work = self._work.get(life, _NO_WORK)
-            has_room = room > 0 or bool(idle)
-            taker = CandidateRunner(
+            has_room = available > 0 or bool(idle)
+            candidate = CandidateRunner(
                 runner, work, has_room, work.pending_prefill_tokens > OVERLOADED_TOKENS
             )
-            self._taker_by_life[life] = taker
+            self._candidate_by_life[life] = candidate
             if has_room:
-                self._roomy[life] = taker
-        return room + len(idle)
+                self._with_room_by_life[life] = candidate
+        return available + len(idle)
 
 
-def _can_be_ordered(runner: RunnerSlots) -> bool:
+def _accepts_orders(runner: RunnerSlots) -> bool:
     return runner.is_known() and not runner.report_due_ms and runner.unconfirmed_order is None
--- a/monsoonflow/placement/load_limit.py
+++ b/monsoonflow/placement/load_limit.py
@@ -1,12 +1,13 @@
-"""Learns how many adapters the weight store sends at once at full speed.
+"""Learns how many adapters the weight store sends concurrently at full speed.
 
-The load that it is made for: a rush for rare adapters. Beyond its limit the store sends each one
-more slowly, in proportion; what is urgent then waits for what is not. The limit is told nowhere and
-differs between deployments (8 beside 6 runners, 48 beside 45), but the times of loads show it.
+Beyond its limit the store sends each adapter more slowly, in proportion. In a rush for rare
+adapters urgent loads then wait for less urgent ones. The limit is not published and differs between
+deployments (8 beside 6 runners, 48 beside 45), but the durations of loads reveal it.
 
-Loads end late for other reasons too: lost orders, slow runners, ends that are seen late. Those
-delay some; a full store delays all. So loads are judged in groups, by the quicker ones of each.
-Too high a limit makes loads wait for each other; too low a one leaves places idle.
+Loads also end late for other reasons: lost orders, slow runners, completions that are noticed late.
+Those delay some loads, while a saturated store delays all. Loads are therefore evaluated in groups,
+by the faster ones of each group. Too high a limit makes loads wait for each other; too low a limit
+leaves slots idle.
 """
 
 from __future__ import annotations
@@ -16,54 +17,59 @@
 from typing import Final
 
 INITIAL_LIMIT: Final = 8
-"""First guess. One that grew with the runners was eleven times too high before a slow store, and no
-load ever showed what full speed is."""
+"""An initial limit that grew with the number of runners was eleven times too high for a slow store,
+and no load ever showed how long one takes at full speed."""
 
 MIN_LIMIT: Final = 4
 
 MIN_GROUP_SIZE: Final = 8
-"""Fewest loads that are judged together, and never fewer than the limit: a round of them or two."""
+"""Minimum number of loads that are evaluated together. A group also has at least as many loads as
+the limit, which makes it one or two rounds of loads."""
 
 GROUP_QUANTILE: Final = 0.375
-"""The load that stands for its group comes after this share, quickest first: a full store delays
-even that one; lost orders and slow runners delayed a third."""
+"""A group is represented by the load at this quantile of its durations: a saturated store delays
+even that one, while lost orders and slow runners delayed a third of the loads."""
 
 SATURATION_FACTOR: Final = 1.35
-"""The store is full when even the quicker loads take so many times what they take at full speed."""
+"""The store is saturated when even the faster loads take this many times as long as at full
+speed."""
 
 SLOW_GROUPS_TO_LOWER: Final = 2
-"""Groups in a row that must be slow before the limit falls: one may be so by chance."""
+"""Number of consecutive slow groups before the limit is lowered: one may be slow by chance."""
 
 STALLED_FACTOR: Final = 3
-"""A load that has taken so many times as long as one at full speed is not on its way: its order was
-lost, or its runner is gone. It takes nothing of what the store sends, and tells nothing of it."""
+"""A load that has taken this many times as long as one at full speed is considered stalled: its
+order was lost, or its runner no longer exists. It uses none of the store's capacity, and its
+duration says nothing about the store."""
 
 MAX_STALLED_IN_A_ROW: Final = 16
-"""So many loads in a row that took too long mean a store that has become slower, not lost orders.
-Neither counted nor judged, they let 178 come at once before a store that carries 24."""
+"""This many consecutive stalled loads mean that the store has become slower, not that orders were
+lost. When such loads were neither counted nor evaluated, 178 loads ran concurrently on a store that
+can carry 24."""
 
 MIN_USED_SHARE: Final = 0.75
-"""A load beside fewer than this share of the limit tells nothing about it."""
+"""A load that started while less than this share of the limit was in use is not evaluated."""
 
 GROUP_HISTORY: Final = 32
-"""Groups of which the second quickest tells what full speed is: in the quickest several runners may
-have had adapters at hand."""
+"""Number of groups from which the duration at full speed is derived. Once there are 8 groups, the
+second fastest is used: in the fastest one several runners may have had cached copies."""
 
 RAISE_FACTOR: Final = 1.5
-"""A limit that keeps somebody waiting while loads run at full speed is raised by half. A store that
-is full already gets half too many once, and those take half longer."""
+"""Factor by which the limit is raised while it makes requests wait and loads run at full speed. If
+the store is already saturated, one round of loads is half too large and takes half longer."""
 
 MIN_CONSTRAINED_MS: Final = 500
-"""Requests come in clumps; a limit that binds for less than two loads is not tried out, since half
-too many at once make each load of a clump take half longer."""
+"""How long the limit must make requests wait before it is raised. Requests arrive in bursts; a
+limit that is reached for less than the duration of two loads is not raised, since half too many
+concurrent loads make each load of a burst take half longer."""
 
 HOLD_MS: Final = 5_000
-"""How long a bound that was found is kept before a higher one is tried again: a trial delays two
-rounds of loads by half, a bound that is too low all who wait."""
+"""How long a lowered limit is kept before a higher one is tried. A trial delays two rounds of loads
+by half; a limit that is too low delays all waiting requests."""
 
 
 class LoadLimit:
-    """How many adapters may be fetched at once over all runners.
+    """Limits how many adapters all runners together may fetch from the store concurrently.
 
     >>> limit = LoadLimit()
     >>> limit.allows(7, now_ms=0), limit.allows(8, now_ms=0)
@@ -81,90 +87,91 @@
     def __init__(self) -> None:
         self._limit = float(INITIAL_LIMIT)
         self._group: list[tuple[int, int]] = []
-        self._quick_ms: deque[int] = deque(maxlen=GROUP_HISTORY)
+        self._group_times_ms: deque[int] = deque(maxlen=GROUP_HISTORY)
         self._full_speed_ms: int | None = None
         self._slow_groups = 0
-        self._late = 0
+        self._stalled_in_a_row = 0
         self._lowered_ms = 0
-        self._refused_since_ms: int | None = None
-        self._kept_until_ms = 0
+        self._constrained_since_ms: int | None = None
+        self._hold_until_ms = 0
 
     @property
     def limit(self) -> int:
-        """Return how many may be fetched at once now."""
+        """Return the current maximum number of concurrent fetches."""
         return int(self._limit)
 
     @property
     def full_speed_ms(self) -> int | None:
-        """Return how long a load takes at full speed; ``None`` before it was seen."""
+        """Return how long a load takes at full speed; ``None`` until this is known."""
         return self._full_speed_ms
 
     def may_be_in_progress(self, for_ms: int) -> bool:
-        """Tell whether a load that began so long ago may still be on its way from the store."""
+        """Tell whether a load that started this long ago may still be in progress at the store."""
         return self._full_speed_ms is None or for_ms <= self._full_speed_ms * STALLED_FACTOR
 
     def allows(self, in_progress: int, now_ms: int) -> bool:
-        """Tell whether one more may begin."""
+        """Tell whether one more load may start."""
         if in_progress < self.limit:
             return True
-        if self._refused_since_ms is None:
-            self._refused_since_ms = now_ms
+        if self._constrained_since_ms is None:
+            self._constrained_since_ms = now_ms
         return False
 
     def mark_unconstrained(self) -> None:
-        """Take that nobody waits because of the limit."""
-        self._refused_since_ms = None
+        """Record that no request currently waits because of the limit."""
+        self._constrained_since_ms = None
 
     def record_load(self, took_ms: int, concurrent_loads: int, now_ms: int) -> None:
-        """Take how long a load took.
+        """Record how long a load took.
 
-        :param among: how many were in progress when it began, itself among them.
+        :param concurrent_loads: number of loads in progress when it started, including itself.
         """
         if not self.may_be_in_progress(took_ms):
-            # What began under a higher limit waited for what it let come.
-            self._late += now_ms - took_ms >= self._lowered_ms
-            if self._late >= MAX_STALLED_IN_A_ROW:
-                self._begin_anew(now_ms)
+            # Loads that started under a higher limit were delayed by the loads that it allowed.
+            self._stalled_in_a_row += now_ms - took_ms >= self._lowered_ms
+            if self._stalled_in_a_row >= MAX_STALLED_IN_A_ROW:
+                self._reset_full_speed(now_ms)
             return
-        self._late = 0
+        self._stalled_in_a_row = 0
         if concurrent_loads < self._limit * MIN_USED_SHARE:
             return
         self._group.append((max(1, took_ms), concurrent_loads))
         if len(self._group) < max(MIN_GROUP_SIZE, self.limit):
             return
-        quick_ms = sorted(took for took, _ in self._group)[int(len(self._group) * GROUP_QUANTILE)]
-        concurrent_loads = max(among for _, among in self._group)
+        group_ms = sorted(took for took, _ in self._group)[int(len(self._group) * GROUP_QUANTILE)]
+        concurrent_loads = max(concurrent for _, concurrent in self._group)
         self._group.clear()
-        self._judge(quick_ms, concurrent_loads, now_ms)
+        self._evaluate_group(group_ms, concurrent_loads, now_ms)
 
-    def _begin_anew(self, now_ms: int) -> None:
-        """Forget what full speed is, and begin with less: nearly no load takes that any more."""
-        self._late = 0
+    def _reset_full_speed(self, now_ms: int) -> None:
+        """Forget the duration at full speed, which loads no longer reach, and lower the limit."""
+        self._stalled_in_a_row = 0
         self._group.clear()
-        self._quick_ms.clear()
+        self._group_times_ms.clear()
         self._full_speed_ms = None
         self._limit = max(MIN_LIMIT, self._limit / STALLED_FACTOR)
         self._lowered_ms = now_ms
-        self._kept_until_ms = now_ms + HOLD_MS
-
-    def _judge(self, quick_ms: int, among: int, now_ms: int) -> None:
-        """Take a group of loads."""
-        self._quick_ms.append(quick_ms)
-        passed_over = min(1, len(self._quick_ms) * 4 // GROUP_HISTORY)
-        self._full_speed_ms = sorted(self._quick_ms)[passed_over]
-        slower = quick_ms / self._full_speed_ms
-        if slower <= SATURATION_FACTOR:
+        self._hold_until_ms = now_ms + HOLD_MS
+
+    def _evaluate_group(self, group_ms: int, concurrent_loads: int, now_ms: int) -> None:
+        """Raise or lower the limit according to the duration of a group of loads."""
+        self._group_times_ms.append(group_ms)
+        skipped = min(1, len(self._group_times_ms) * 4 // GROUP_HISTORY)
+        self._full_speed_ms = sorted(self._group_times_ms)[skipped]
+        slowdown = group_ms / self._full_speed_ms
+        if slowdown <= SATURATION_FACTOR:
             self._slow_groups = 0
-            if now_ms >= self._kept_until_ms and self._rushed(now_ms):
+            if now_ms >= self._hold_until_ms and self._is_constrained(now_ms):
                 self._limit *= RAISE_FACTOR
             return
         self._slow_groups += 1
         if self._slow_groups >= SLOW_GROUPS_TO_LOWER:
             self._slow_groups = 0
-            self._limit = max(MIN_LIMIT, min(self._limit, math.ceil(among / slower)))
+            self._limit = max(MIN_LIMIT, min(self._limit, math.ceil(concurrent_loads / slowdown)))
             self._lowered_ms = now_ms
-            self._kept_until_ms = now_ms + HOLD_MS
+            self._hold_until_ms = now_ms + HOLD_MS
 
-    def _rushed(self, now_ms: int) -> bool:
-        since_ms = self._refused_since_ms
+    def _is_constrained(self, now_ms: int) -> bool:
+        """Tell whether the limit has made requests wait for long enough to raise it."""
+        since_ms = self._constrained_since_ms
         return since_ms is not None and now_ms - since_ms >= MIN_CONSTRAINED_MS
--- a/monsoonflow/placement/load_priority.py
+++ b/monsoonflow/placement/load_priority.py
@@ -1,4 +1,4 @@
-"""Orders loads so that newcomers' loads take a bounded share while others wait."""
+"""Prioritizes loads so that new customers' loads take a limited share while others wait."""
 
 from __future__ import annotations
 
@@ -6,42 +6,47 @@
 from typing import Final, Protocol, TypeVar
 
 BACKGROUND_EVERY: Final = 4
-"""Of so many loads, one at most is a newcomer's while others wait."""
+"""While other loads wait, at most one load in this many is a background load."""
 
 
 class LoadRequest(Protocol):
-    """A load that is wanted."""
+    """A load that is requested.
+
+    ``background`` tells whether it is for a customer that is being brought into service.
+    """
 
     background: bool
 
     def urgency(self) -> tuple:
-        """Return the sort key among wishes of the same kind."""
+        """Return the sort key among requests of the same kind, most urgent last."""
 
 
 LoadRequestT = TypeVar("LoadRequestT", bound=LoadRequest)
 
 
 class LoadPrioritizer:
-    """Picks the next load; a newcomer's only in its turn, or when nothing else is wanted.
+    """Picks the next load: a background load only in its turn, or when no other is requested.
 
-    A customer group of a thousand adapters that is brought in wants a thousand loads at once. By
-    waiting cost alone they would soon outweigh everything else, and customers already in service
-    would wait behind them for minutes.
+    Bringing a customer group of a thousand adapters into service requests a thousand loads at once.
+    Ranked by waiting cost alone, they would soon outweigh all other loads, and customers already in
+    service would wait behind them for minutes.
     """
 
     def __init__(self, background_every: int = BACKGROUND_EVERY) -> None:
-        self._every = background_every
-        self._since_background = 0
-
-    def pick(self, wishes: Iterable[LoadRequestT]) -> LoadRequestT | None:
-        """Return the wish to grant next, if there is one; changes nothing."""
-        listed = list(wishes)
-        foreground = [wish for wish in listed if not wish.background]
-        background = [wish for wish in listed if wish.background]
-        turn = self._since_background >= self._every - 1
-        first, second = (background, foreground) if turn else (foreground, background)
-        return max(first or second, key=lambda wish: wish.urgency(), default=None)
-
-    def record_grant(self, wish: LoadRequest) -> None:
-        """Note that a wish was granted."""
-        self._since_background = 0 if wish.background else self._since_background + 1
+        self._background_every = background_every
+        self._grants_since_background = 0
+
+    def pick(self, requests: Iterable[LoadRequestT]) -> LoadRequestT | None:
+        """Return the request to grant next, if there is one, without recording a grant."""
+        listed = list(requests)
+        foreground = [request for request in listed if not request.background]
+        background = [request for request in listed if request.background]
+        is_background_turn = self._grants_since_background >= self._background_every - 1
+        first, second = (background, foreground) if is_background_turn else (foreground, background)
+        return max(first or second, key=lambda request: request.urgency(), default=None)
+
+    def record_grant(self, request: LoadRequest) -> None:
+        """Record that a request was granted."""
+        self._grants_since_background = (
+            0 if request.background else self._grants_since_background + 1
+        )
--- a/monsoonflow/placement/load_target.py
+++ b/monsoonflow/placement/load_target.py
@@ -1,4 +1,4 @@
-"""Chooses the runner that loads an adapter for somebody who waits."""
+"""Selects the runner that loads an adapter for a queued request."""
 
 from __future__ import annotations
 
@@ -14,63 +14,69 @@
 
 @attrs.define(slots=True)
 class LoadTargetSelector:
-    """Picks among the runners of a cell."""
+    """Selects among the runners of a cell."""
 
     cached_copies: CachedCopies
 
     def select(
-        self, waiter: QueuedRequest, ref: AdapterRef, takers: CandidateRunners, cold_allowed: bool
+        self,
+        request: QueuedRequest,
+        ref: AdapterRef,
+        candidates: CandidateRunners,
+        is_cold_allowed: bool,
     ) -> RunnerSlots | None:
-        """Return where an adapter is loaded best; ``None`` when nothing can be ordered now.
+        """Return the best runner to load an adapter; ``None`` when no load can be ordered now.
 
-        A runner that held it keeps a copy: a tenth of the time and nothing from the weight store.
-        Then comes the adapter's home by hash, so that it is found there again; a crowded runner
-        comes after all that are not.
+        Runners without requests on an older version of the adapter come first, then those that are
+        not overloaded, then those that keep a cached copy: they load the adapter in a tenth of the
+        time and without the weight store. Among equal runners the adapter's hash decides, so that
+        later loads find the copy there.
 
-        :param ref: the adapter at the version that is to be loaded.
-        :param cold_allowed: whether one more may be fetched from the weight store now.
+        :param ref: the adapter version to load.
+        :param is_cold_allowed: whether one more adapter may be fetched from the weight store now.
         """
-        warm = self.cached_copies.runners_with(ref)
-        found = (
-            takers.candidates_for(waiter.adapter_name)
-            if cold_allowed
-            else takers.candidates_among(warm)
+        warm_lives = self.cached_copies.runners_with(ref)
+        considered = (
+            candidates.candidates_for(request.adapter_name)
+            if is_cold_allowed
+            else candidates.candidates_among(warm_lives)
         )
-        least: tuple[bool, bool, bool] | None = None
-        equals: list[RunnerSlots] = []
-        for taker in found:
-            if not _takes(taker, waiter, ref):
+        best_rank: tuple[bool, bool, bool] | None = None
+        best_runners: list[RunnerSlots] = []
+        for candidate in considered:
+            if not _can_load(candidate, request, ref):
                 continue
-            if not waiter.can_prefill_in_time(taker.work, 0, takers.now_ms):
+            if not request.can_prefill_in_time(candidate.work, 0, candidates.now_ms):
                 continue
-            runner = taker.runner
-            # A replacement waits for the runs on the old version, and new ones wait with it.
-            in_use = (
-                waiter.adapter_name in runner.slots
-                and taker.work.requests_by_adapter.get(waiter.adapter_name, 0) > 0
+            runner = candidate.runner
+            # Replacing a version in use waits for its requests to finish, and so do new requests.
+            is_in_use = (
+                request.adapter_name in runner.slots
+                and candidate.work.requests_by_adapter.get(request.adapter_name, 0) > 0
             )
-            rank = (in_use, taker.is_overloaded, runner.life not in warm)
-            if least is None or rank < least:
-                least, equals = rank, []
-            if rank == least:
-                equals.append(runner)
-        if not equals:
+            rank = (is_in_use, candidate.is_overloaded, runner.life not in warm_lives)
+            if best_rank is None or rank < best_rank:
+                best_rank, best_runners = rank, []
+            if rank == best_rank:
+                best_runners.append(runner)
+        if not best_runners:
             return None
-        best = max(equals, key=lambda runner: weight(waiter.adapter_name, runner.life))
-        # An order takes a few milliseconds. Passed over for that, the runner that has a copy would
-        # lose the adapter to one that must fetch it: a seventh of all fetches were such.
-        return None if best.has_call_in_progress else best
+        target = max(best_runners, key=lambda runner: weight(request.adapter_name, runner.life))
+        # A runner with a call in progress is waited for, since a call takes a few milliseconds.
+        # When another runner was chosen instead, it had to fetch an adapter of which the first one
+        # had a copy; this caused a seventh of all fetches.
+        return None if target.has_call_in_progress else target
 
 
-def _takes(taker: CandidateRunner, waiter: QueuedRequest, ref: AdapterRef) -> bool:
-    runner = taker.runner
+def _can_load(candidate: CandidateRunner, request: QueuedRequest, ref: AdapterRef) -> bool:
+    runner = candidate.runner
     if (
-        runner.life in waiter.excluded_runners
-        or runner.model != waiter.adapter_name.partition("/")[0]
+        runner.life in request.excluded_runners
+        or runner.model != request.adapter_name.partition("/")[0]
     ):
         return False
-    own = runner.slots.get(waiter.adapter_name)
-    if own is None:
-        return taker.has_room
-    # Where it is there already, who still waits does so for the runner's queue.
-    return own.state is SlotState.READY and own.ref.version < ref.version
+    slot = runner.slots.get(request.adapter_name)
+    if slot is None:
+        return candidate.has_room
+    # If the required version is already there, the request only waits for the runner's queue.
+    return slot.state is SlotState.READY and slot.ref.version < ref.version
--- a/monsoonflow/placement/model_load_limit.py
+++ b/monsoonflow/placement/model_load_limit.py
@@ -1,4 +1,4 @@
-"""Keeps loads of base models under the rate that the weight store allows."""
+"""Limits loads of base models to the rate that the weight store allows."""
 
 from __future__ import annotations
 
@@ -6,25 +6,28 @@
 from typing import Final
 
 HOLDER_SHARE: Final = 0.5
-"""Share of a window's loads that one holder begins: the next one starts with an empty count."""
+"""Share of a window's loads that one lease holder may start: the next holder's count starts at
+0."""
 
 LONG_AGO_MS: Final = -1_000_000_000
+"""Default for when this node became the lease holder: longer ago than any window."""
 
 
 class ModelLoadLimit:
-    """The loads of base models that this holder began lately.
+    """Limits the loads of base models that this lease holder starts within a window.
 
-    A new holder does not know what those before it have begun. Its share grows with the time that
-    it holds the duty, so that any number of holders in one window have one share together, beside
-    that of the one that held it before.
+    A new holder does not know which loads earlier holders have started. Its share grows with the
+    time that it holds the cell lease. All holders within one window together therefore start no
+    more than one share, in addition to the share of the holder before them.
 
-    :param window_ms: the window in which the operator counts them.
-    :param since_ms: since when this holder holds the duty.
+    :param loads_per_s: rate of loads that the weight store allows.
+    :param window_ms: window in which the operator counts loads.
+    :param holder_since_ms: when this node became the lease holder.
 
-    >>> loads = ModelLoadLimit(loads_per_s=1.0)
-    >>> [loads.allows(0) and loads.record_start(0) is None for _ in range(4)]
+    >>> limit = ModelLoadLimit(loads_per_s=1.0)
+    >>> [limit.allows(0) and limit.record_start(0) is None for _ in range(4)]
     [True, True, False, False]
-    >>> loads.allows(5_000)
+    >>> limit.allows(5_000)
     True
     """
 
@@ -33,25 +36,27 @@
     ) -> None:
         self._loads_per_s = loads_per_s
         self._window_ms = window_ms
-        self._since_ms = holder_since_ms
-        self._began_ms: list[int] = []
+        self._holder_since_ms = holder_since_ms
+        self._started_ms: list[int] = []
 
     def allows(self, now_ms: int) -> bool:
-        """Tell whether one more may begin."""
+        """Tell whether one more load may start."""
         window_ms = self._window_ms
-        self._began_ms = [at_ms for at_ms in self._began_ms if now_ms - at_ms < window_ms]
-        held_ms = min(window_ms, now_ms - self._since_ms)
+        self._started_ms = [
+            started_ms for started_ms in self._started_ms if now_ms - started_ms < window_ms
+        ]
+        held_ms = min(window_ms, now_ms - self._holder_since_ms)
         allowed = math.floor(self._loads_per_s * held_ms / 1000 * HOLDER_SHARE)
         if held_ms == window_ms:
             # At the lowest rates a share of a window is less than one load.
             allowed = max(1, allowed)
-        return len(self._began_ms) < allowed
+        return len(self._started_ms) < allowed
 
     def record_start(self, now_ms: int) -> None:
-        """Count a load."""
-        self._began_ms.append(now_ms)
+        """Record that a load was started."""
+        self._started_ms.append(now_ms)
 
     def undo_start(self) -> None:
-        """Take the last one back: its order was never carried out."""
-        if self._began_ms:
-            self._began_ms.pop()
+        """Remove the last recorded start, whose order was never carried out."""
+        if self._started_ms:
+            self._started_ms.pop()
--- a/monsoonflow/placement/models.py
+++ b/monsoonflow/placement/models.py
@@ -1,4 +1,4 @@
-"""Data of placement decisions."""
+"""Data classes for choosing the runner of a request."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @attrs.define(slots=True)
 class RunnerView:
-    """What is known of a runner when a request is routed; exact only at its owner.
+    """State of a runner as known to the node that routes a request; exact only at its owner.
 
-    :param queued: waiting requests as last reported.
-    :param sent_since: requests sent there since that report.
-    :param resident: the short hashes of the adapters in place or on their way.
-    :param ready: waiting requests whose adapter is in place.
-    :param stall_total_ms: load stalls of late, summed; with ``stall_weight``, their mean.
+    :param queued: number of waiting requests in the runner's last report.
+    :param sent_since_report: number of requests sent to the runner since that report.
+    :param resident: short hashes of the adapters that are loaded or being loaded.
+    :param ready: number of waiting requests whose adapter is loaded.
+    :param stall_total_ms: sum of recent load stalls; divided by ``stall_weight``, their mean.
     """
 
     runner_id: str
@@ -37,11 +37,12 @@
 
 @attrs.frozen(slots=True)
 class PlacementTuning:
-    """Settings of runner choice.
+    """Settings for choosing the runner of a request.
 
-    :param load_cost: what a load counts, in full batches of backlog.
-    :param replica_backlog: backlog per replica from which a hot adapter gets another.
-    :param max_replicas: the most runners an adapter is spread over.
+    :param load_cost: cost of a load, in full batches of backlog.
+    :param replica_backlog: backlog per replica, in full batches, beyond which an adapter in high
+        demand gets another replica.
+    :param max_replicas: maximum number of runners over which an adapter is spread.
     """
 
     load_cost: float = 2.0
--- a/monsoonflow/placement/request_queue.py
+++ b/monsoonflow/placement/request_queue.py
@@ -1,6 +1,6 @@
-"""Requests that wait for a place: in which order they get one, and who is refused at once.
+"""Queue of requests that wait for a slot: their order, and which of them are refused at once.
 
-The load that it is made for: a rush in which more is asked for than there are places.
+It is designed for a rush, in which more adapters are requested than there are slots.
 """
 
 from __future__ import annotations
@@ -19,46 +19,48 @@
 from ..routing.prefill_rate import INITIAL_TOKENS_PER_MS
 
 RATE_WINDOW_MS: Final = 2_000
-"""Window in which places given are counted: longer than a load, shorter than a rush."""
+"""Window in which assigned slots are counted: longer than a load, shorter than a rush."""
 
 ASSUMED_SLOT_USE_MS: Final = 4_000
-"""A place is assumed to be free again after so long at the latest: a load, a prompt and a long
-answer. After a quiet time no rate has been measured, and nobody may be refused for that."""
+"""A slot is assumed to be free again after this time at the latest: a load, a prompt and a long
+answer. After a quiet period no rate is known yet, and no request may be refused because of that."""
 
 MIN_LATE_SHARE: Final = 1 / 3
-"""Share of the places that those who are late already are taken to get at least; more made them
-wait until their time was over (price on one day of rushes 0.009, 0.007 with a third; one run
-each)."""
+"""Minimum share of the slots that late requests are assumed to get. With a larger share they waited
+until their deadlines (price on one day of rushes: 0.009 instead of 0.007, one run each)."""
 
 ALWAYS_QUEUED_ADAPTERS: Final = 4
-"""So many adapters may always wait, whatever the rate says."""
+"""Number of adapters whose requests may always wait, regardless of the rate."""
 
 MAX_WAIT_SHARE: Final = 0.5
-"""Share of the time left that a request is let wait; the rest is for its answer."""
+"""Share of the remaining time that a request may wait; the rest is for its answer."""
 
 MIN_RETRY_AFTER_MS: Final = 250
 
 
 GroupSortKey: TypeAlias = tuple[int, int]
-"""Priority and time of coming: the order among those on time, and among those who are late."""
+"""Priority and first attempt: the order among requests on time, and among late requests."""
 
 
 @attrs.define(slots=True, eq=False)
 class QueuedRequest:
-    """A request that waits for an adapter.
-
-    :param version: the oldest version that may serve it.
-    :param on_time_until_ms: until when a place still lets it meet its latency objective.
-    :param until_ms: when its time is over.
-    :param load_ms: how long its adapter takes to load.
-    :param session: the last part of its prompt, by which a caller that comes back is known.
-    :param tried_ms: how long its caller had tried before, as far as that is known; ``since_ms`` and
-        ``on_time_until_ms`` count it.
-    :param rank: that it will have at its runner, 0 first.
-    :param read_by_ms: until when its prompt must have been read; ``None`` where a queue does not
-        matter to it.
-    :param tokens_per_ms: the pace at which its node sees runners read.
-    :param settle: called once; with ``None`` when another node must be asked.
+    """A request that waits for a slot with its adapter.
+
+    :param min_version: oldest adapter version that may serve it.
+    :param priority: smaller is more urgent.
+    :param first_attempt_ms: when its caller made its first attempt, as far as that is known.
+    :param on_time_until_ms: until when a slot lets it meet its latency objective.
+    :param deadline_ms: when it can no longer be served.
+    :param excluded_runners: runners that it must not be sent to.
+    :param on_result: called once; with ``None`` when another node must be asked.
+    :param expected_load_ms: how long its adapter takes to load.
+    :param session_key: last part of its prompt, which identifies a returning caller.
+    :param tried_ms: how long its caller has tried before this attempt, as far as that is known.
+        ``first_attempt_ms`` and ``on_time_until_ms`` take it into account.
+    :param rank: its rank in the runner's queue, 0 first.
+    :param read_by_ms: when the prefill of its prompt must be complete; ``None`` if a queue at the
+        runner does not matter.
+    :param tokens_per_ms: prefill rate of runners as observed by its node.
     """
 
     adapter_name: str
@@ -77,46 +79,49 @@
     read_by_ms: int | None = None
     tokens_per_ms: float = INITIAL_TOKENS_PER_MS
 
-    def can_prefill_in_time(self, at: ServerWork, granted_tokens: int, now_ms: int) -> bool:
-        """Tell whether a runner will have read its prompt before its caller leaves.
+    def can_prefill_in_time(self, work: ServerWork, granted_tokens: int, now_ms: int) -> bool:
+        """Tell whether a runner completes the prefill of the prompt before the caller leaves.
 
-        :param granted_tokens: on their way there from others, that no report tells of yet.
+        :param granted_tokens: prompt tokens of requests that were granted a slot there and are not
+            yet part of a report.
         """
         if self.read_by_ms is None:
             return True
-        if not at.pending_prefill_ahead(self.rank) + granted_tokens:
-            # Refused before an idle runner, nobody would show that it reads quicker than believed.
+        if not work.pending_prefill_ahead(self.rank) + granted_tokens:
+            # An idle runner is not ruled out by its estimated prefill rate: without any request it
+            # could never prove to be faster than estimated.
             return now_ms < self.read_by_ms
-        return self.prefill_done_ms(at, granted_tokens, now_ms) <= self.read_by_ms
+        return self.prefill_done_ms(work, granted_tokens, now_ms) <= self.read_by_ms
 
-    def prefill_done_ms(self, at: ServerWork, granted_tokens: int, now_ms: int) -> int:
-        """Return when a runner will have read its prompt, were it sent there now."""
-        tokens = at.pending_prefill_ahead(self.rank) + granted_tokens + self.prompt_tokens
+    def prefill_done_ms(self, work: ServerWork, granted_tokens: int, now_ms: int) -> int:
+        """Return when a runner would complete the prefill if the request were sent there now."""
+        tokens = work.pending_prefill_ahead(self.rank) + granted_tokens + self.prompt_tokens
         return now_ms + BASE_LATENCY_MS + int(tokens / self.tokens_per_ms)
 
     def is_late(self, now_ms: int) -> bool:
-        """Tell whether the first event would be late even if the adapter were loaded from now."""
+        """Tell whether the first event would be late even if the load started now."""
         return now_ms + self.expected_load_ms > self.on_time_until_ms
 
     def sort_key(self, now_ms: int) -> tuple[bool, int, int]:
-        """Return the order in which places are given.
+        """Return the sort key for assigning slots, smallest first.
 
-        Who can still be on time goes first. In the order of arrival a rush would make everybody
-        late: the oldest, whose answer is late already, would take the place of one that is not.
+        Requests that can still be on time come first. In order of arrival a rush would make all
+        requests late: the oldest one, which is already late, would take the slot of one that is
+        not.
         """
         return (self.is_late(now_ms), self.priority, self.first_attempt_ms)
 
     def group_sort_key(self) -> GroupSortKey:
-        """Return the order among those who are on time, or late, as this one is."""
+        """Return the sort key among the requests on time, or among the late ones."""
         return (self.priority, self.first_attempt_ms)
 
 
-def in_service_order(waiters: Iterable[QueuedRequest], now_ms: int) -> list[QueuedRequest]:
-    """Return requests by :meth:`QueuedRequest.sort_key`: on time first, then late."""
+def in_service_order(requests: Iterable[QueuedRequest], now_ms: int) -> list[QueuedRequest]:
+    """Return requests sorted by :meth:`QueuedRequest.sort_key`: on time first, then late."""
     on_time: list[QueuedRequest] = []
     late: list[QueuedRequest] = []
-    for waiter in waiters:
-        (late if waiter.is_late(now_ms) else on_time).append(waiter)
+    for request in requests:
+        (late if request.is_late(now_ms) else on_time).append(request)
     on_time.sort(key=QueuedRequest.group_sort_key)
     late.sort(key=QueuedRequest.group_sort_key)
     return on_time + late
@@ -124,9 +129,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """A runner can serve the adapter.
+    """A slot was assigned: a runner can serve the adapter now.
 
-    :param tried_ms: how long the caller had tried before.
+    :param life: the runner.
+    :param version: version of the adapter that it holds.
+    :param tried_ms: how long the caller had tried before this attempt.
     """
 
     life: ServerLife
@@ -136,124 +143,126 @@
 
 @dataclass(frozen=True, slots=True)
 class NoSlot:
-    """No runner will be able to in time.
+    """The request is refused: no runner can serve it in time.
 
-    :param retry_after_ms: when the queue has drained.
+    :param retry_after_ms: time until the queue will have drained.
     """
 
     retry_after_ms: int
 
 
 class _AdaptersAhead:
-    """The adapters that are waited for, each at the turn of the first who waits for it."""
+    """The adapters of queued requests, each with the sort key of the first request for it."""
 
     def __init__(self) -> None:
-        self._turns: list[GroupSortKey] = []
-        self._turn_by_name: dict[str, GroupSortKey] = {}
-
-    def all(self) -> int:
-        """Return how many adapters there are."""
-        return len(self._turns)
-
-    def count(self, waiter: QueuedRequest) -> int:
-        """Return how many adapters come before a request has its turn."""
-        return bisect_right(self._turns, waiter.group_sort_key())
-
-    def add_last(self, waiter: QueuedRequest) -> None:
-        """Count the adapter of a request whose turn comes after all that are counted."""
-        if waiter.adapter_name not in self._turn_by_name:
-            turn = self._turn_by_name[waiter.adapter_name] = waiter.group_sort_key()
-            self._turns.append(turn)
-
-    def add(self, waiter: QueuedRequest) -> None:
-        """Count a request's adapter."""
-        turn = waiter.group_sort_key()
-        known = self._turn_by_name.get(waiter.adapter_name)
-        if known is not None:
-            if known <= turn:
+        self._sorted_keys: list[GroupSortKey] = []
+        self._key_by_adapter: dict[str, GroupSortKey] = {}
+
+    def count_all(self) -> int:
+        """Return the number of adapters."""
+        return len(self._sorted_keys)
+
+    def count_before(self, request: QueuedRequest) -> int:
+        """Return the number of adapters that are served before a request."""
+        return bisect_right(self._sorted_keys, request.group_sort_key())
+
+    def append(self, request: QueuedRequest) -> None:
+        """Add the adapter of a request that sorts after all requests added so far."""
+        if request.adapter_name not in self._key_by_adapter:
+            key = self._key_by_adapter[request.adapter_name] = request.group_sort_key()
+            self._sorted_keys.append(key)
+
+    def insert(self, request: QueuedRequest) -> None:
+        """Add the adapter of a request at its sorted position."""
+        key = request.group_sort_key()
+        known_key = self._key_by_adapter.get(request.adapter_name)
+        if known_key is not None:
+            if known_key <= key:
                 return
-            del self._turns[bisect_left(self._turns, known)]
-        self._turn_by_name[waiter.adapter_name] = turn
-        insort(self._turns, turn)
+            del self._sorted_keys[bisect_left(self._sorted_keys, known_key)]
+        self._key_by_adapter[request.adapter_name] = key
+        insort(self._sorted_keys, key)
 
 
 class QueueAdmission:
-    """How fast places were given lately, and from it who will not get one in time."""
+    """Refuses requests that will not get a slot in time, from the recent rate of assigned slots."""
 
     def __init__(self) -> None:
-        self._placed_ms: deque[int] = deque()
-        self._placed_late_ms: deque[int] = deque()
-        self._places = 0
-        self._idle = 0
-        self._ahead = {False: _AdaptersAhead(), True: _AdaptersAhead()}
-
-    def record_assignment(self, waiter: QueuedRequest, now_ms: int) -> None:
-        """Count a place that was given."""
-        self._placed_ms.append(now_ms)
-        if now_ms > waiter.on_time_until_ms:
-            self._placed_late_ms.append(now_ms)
+        self._assigned_ms: deque[int] = deque()
+        self._assigned_late_ms: deque[int] = deque()
+        self._slot_count = 0
+        self._idle_count = 0
+        self._ahead_by_lateness = {False: _AdaptersAhead(), True: _AdaptersAhead()}
+
+    def record_assignment(self, request: QueuedRequest, now_ms: int) -> None:
+        """Record that a request was assigned a slot."""
+        self._assigned_ms.append(now_ms)
+        if now_ms > request.on_time_until_ms:
+            self._assigned_late_ms.append(now_ms)
 
     def check_queue(
-        self, waiters: list[QueuedRequest], places: int, idle: int, now_ms: int
+        self, requests: list[QueuedRequest], slot_count: int, idle_count: int, now_ms: int
     ) -> list[tuple[QueuedRequest, NoSlot]]:
-        """Return who is too far back, with a time to come back.
+        """Return the requests too far back in the queue, each with its refusal.
 
-        Holding a request that will not be served costs its caller the time in which it could have
-        come back. Those who are late already only get what those on time leave.
+        Holding a request that will not be served costs its caller time in which it could have
+        retried. Late requests only get the slots that requests on time leave.
 
-        :param waiters: in the order in which they get places.
-        :param places: all places for adapters.
-        :param idle: places that nothing uses: so many need not wait for any end.
+        :param requests: requests in the order in which they are assigned slots.
+        :param slot_count: number of slots of all runners.
+        :param idle_count: number of free and idle slots: this many adapters need not wait until a
+            request ends.
         """
-        self._places, self._idle = places, idle
-        self._ahead = {False: _AdaptersAhead(), True: _AdaptersAhead()}
-        rates = self._rates(now_ms)
+        self._slot_count, self._idle_count = slot_count, idle_count
+        self._ahead_by_lateness = {False: _AdaptersAhead(), True: _AdaptersAhead()}
+        rates = self._slot_rates(now_ms)
         refused = []
-        for waiter in waiters:
-            late = waiter.is_late(now_ms)
-            ahead = self._ahead[late]
-            refusal = self._refusal(waiter, ahead.all(), rates[late], now_ms)
+        for request in requests:
+            is_late = request.is_late(now_ms)
+            ahead = self._ahead_by_lateness[is_late]
+            refusal = self._refusal_if_too_late(request, ahead.count_all(), rates[is_late], now_ms)
             if refusal is None:
-                ahead.add_last(waiter)
+                ahead.append(request)
             else:
-                refused.append((waiter, refusal))
+                refused.append((request, refusal))
         return refused
 
-    def check_new_request(self, waiter: QueuedRequest, now_ms: int) -> NoSlot | None:
-        """Return the refusal of one more request; ``None`` when it may wait.
+    def check_new_request(self, request: QueuedRequest, now_ms: int) -> NoSlot | None:
+        """Return the refusal of a new request; ``None`` when it may wait.
 
-        It is judged by who was ahead when all were last looked at, and by who has come since. A
-        look at all of 300 who wait, for each of 280 questions a second, took half of a core.
+        It is compared with the requests that were ahead in the last :meth:`check_queue` and those
+        added since. Checking all of 300 queued requests for each of 280 new ones a second took half
+        of a processor core.
         """
-        late = waiter.is_late(now_ms)
-        ahead = self._ahead[late]
-        rate = self._rates(now_ms)[late]
-        refusal = self._refusal(waiter, ahead.count(waiter), rate, now_ms)
+        is_late = request.is_late(now_ms)
+        ahead = self._ahead_by_lateness[is_late]
+        rate = self._slot_rates(now_ms)[is_late]
+        refusal = self._refusal_if_too_late(request, ahead.count_before(request), rate, now_ms)
         if refusal is None:
-            ahead.add(waiter)
+            ahead.insert(request)
         return refusal
 
-    def _rates(self, now_ms: int) -> dict[bool, float]:
-        """Return places a second for those on time, and for those who are late."""
-        least = 1000 * self._places / ASSUMED_SLOT_USE_MS
+    def _slot_rates(self, now_ms: int) -> dict[bool, float]:
+        """Return the slots assigned per second, by whether requests are late."""
+        min_rate = 1000 * self._slot_count / ASSUMED_SLOT_USE_MS
         return {
-            False: max(least, _rate(self._placed_ms, now_ms)),
-            True: max(least * MIN_LATE_SHARE, _rate(self._placed_late_ms, now_ms)),
+            False: max(min_rate, _events_per_s(self._assigned_ms, now_ms)),
+            True: max(min_rate * MIN_LATE_SHARE, _events_per_s(self._assigned_late_ms, now_ms)),
         }
 
-    def _refusal(
-        self, waiter: QueuedRequest, ahead: int, rate: float, now_ms: int
+    def _refusal_if_too_late(
+        self, request: QueuedRequest, ahead: int, rate: float, now_ms: int
     ) -> NoSlot | None:
-        queued = max(0, ahead - self._idle - ALWAYS_QUEUED_ADAPTERS)
-        wait_ms = 1000 * queued / max(1.0, rate)
-        left_ms = waiter.deadline_ms - now_ms
-        if left_ms <= 0 or wait_ms > left_ms * MAX_WAIT_SHARE:
+        adapters_ahead = max(0, ahead - self._idle_count - ALWAYS_QUEUED_ADAPTERS)
+        wait_ms = 1000 * adapters_ahead / max(1.0, rate)
+        remaining_ms = request.deadline_ms - now_ms
+        if remaining_ms <= 0 or wait_ms > remaining_ms * MAX_WAIT_SHARE:
             return NoSlot(max(MIN_RETRY_AFTER_MS, int(wait_ms)))
         return None
 
 
-def _rate(times_ms: deque[int], now_ms: int) -> float:
-    """Return events a second over the last while."""
+def _events_per_s(times_ms: deque[int], now_ms: int) -> float:
+    """Return the number of events per second within ``RATE_WINDOW_MS``; drops older ones."""
     while times_ms and now_ms - times_ms[0] > RATE_WINDOW_MS:
         times_ms.popleft()
     return len(times_ms) * 1000 / RATE_WINDOW_MS
--- a/monsoonflow/placement/runner_selection.py
+++ b/monsoonflow/placement/runner_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the runner of a request."""
+"""Chooses the runner that serves a request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def build_runner_view(
     runner: Runner, base_model: str, now_ms: int, takes_new_work: bool
 ) -> RunnerView:
-    """Return the exact view of a runner, as its owner has it."""
+    """Return the exact view of a runner, from the state that its owner has."""
     return RunnerView(
         runner_id=runner.runner_id,
         base_model=base_model,
@@ -32,7 +32,7 @@
 
 
 @lru_cache(maxsize=65_536)
-def _ranked(adapter_name: str, runner_ids: tuple[str, ...]) -> tuple[str, ...]:
+def _rank_runners(adapter_name: str, runner_ids: tuple[str, ...]) -> tuple[str, ...]:
     return tuple(rank(adapter_name, runner_ids))
 
 
@@ -42,11 +42,11 @@
     view_by_id: Mapping[str, RunnerView],
     tuning: PlacementTuning,
 ) -> str | None:
-    """Return the runner that a new request should go to, or ``None`` when none takes work.
+    """Return the runner to send a new request to, or ``None`` when none accepts new work.
 
-    Requests for one adapter go to one runner while that runner keeps up: one load serves them all
-    and fills its batches. When the runner's backlog grows, the adapter spreads to its next runners
-    by rendezvous order, which all nodes agree on without talking.
+    Requests for one adapter go to one runner as long as that runner keeps up: one load serves them
+    all, and they fill its batches. When the runner's backlog grows, the adapter spreads to the next
+    runners in rendezvous order, which is the same on all nodes without communication.
     """
     usable = tuple(
         sorted(
@@ -57,14 +57,14 @@
     )
     if not usable:
         return None
-    order = _ranked(adapter.name, usable)[: tuning.max_replicas]
-    wanted = short_hash(adapter)
-    best_id = order[0]
+    ranked = _rank_runners(adapter.name, usable)[: tuning.max_replicas]
+    adapter_hash = short_hash(adapter)
+    best_id = ranked[0]
     best_cost = float("inf")
-    for position, runner_id in enumerate(order):
+    for position, runner_id in enumerate(ranked):
         view = view_by_id[runner_id]
         cost = view.backlog() + position * tuning.replica_backlog
-        if wanted not in view.resident:
+        if adapter_hash not in view.resident:
             cost += tuning.load_cost
         if cost < best_cost:
             best_id, best_cost = runner_id, cost
--- a/monsoonflow/placement/scheduler.py
+++ b/monsoonflow/placement/scheduler.py
@@ -1,9 +1,10 @@
-"""Decides which runner loads which adapter, for all requests of a cell.
+"""Schedules adapter loads on the runners of a cell, for all requests of the cell.
 
-The load that it is made for: a few adapters get most requests, thousands get one now and then, and
-a rush asks for many rare ones at once. Runners hold few adapters and keep copies of more, so an
-adapter goes back to where it was; what is busy is never unloaded; who waits is served by urgency;
-and the weight store carries no more loads at once than it does at full speed.
+A few adapters get most requests, thousands get one now and then, and a rush requests many rare ones
+at once. Runners hold few adapters and keep cached copies of more. Therefore an adapter is loaded
+where it was before if possible, an adapter in use is never unloaded to make room, queued requests
+are served by urgency, and the weight store gets no more concurrent loads than it sends at full
+speed.
 """
 
 from __future__ import annotations
@@ -42,63 +43,70 @@
 
 COLD_LOAD_MS: Final = 250
 WARM_LOAD_MS: Final = 25
-"""Usual times of a load (the store's sheet); first guesses, then the runner is asked."""
+"""Typical duration of a load according to the weight store's data sheet: the time until the runner
+is first asked whether the load is complete."""
 
 CONFIRM_INTERVAL_MS: Final = 20
-"""Pause between questions whether a load is complete: a question costs a round trip of 3 ms."""
+"""Interval at which a runner is asked whether a load is complete: each time costs a round trip of
+3 ms."""
 
 UNLOAD_CONFIRM_SHARE: Final = 0.25
-"""Share of the time that an unload has taken after which it is asked for again: its place is free a
-quarter later than it could be, at the most."""
+"""The runner is asked about an unload again after this share of the time that it has taken so far:
+the slot becomes free at most a quarter later than it could."""
 
 MODEL_CONFIRM_INTERVAL_MS: Final = 250
 
 MAX_ORDER_DELAY_MS: Final = 12_000
-"""How long an order without an answer may still be carried out (the sheet of troubles: 2 to 12 s
-later). Given to one life of a runner, it may meet the next one under the same id."""
+"""How long an order without a response may still be carried out: 2 to 12 s later according to the
+list of known faults. An order that was sent before a runner restarted may reach its new process,
+which has the same id."""
 
 GRANT_HOLD_MS: Final = 600
-"""How long a grant keeps its adapter until the request shows up in its node's report."""
-
+"""How long a granted slot is kept until the request appears in its node's heartbeat."""
 
 REQUEST_USAGE_SCORE: Final = 0.3
-"""What being asked for counts: a third of a second of use, so that what is asked for again and
-again is kept though each of its requests is short."""
+"""Usage score of each request for an adapter, about a third of a second of use, so that an adapter
+with many short requests is kept."""
 
 REPORT_RETRY_MS: Final = 150
 MAX_REPORT_AGE_MS: Final = 500
-"""A runner's report is some hundred milliseconds old: one that knows fewer orders than were
-accepted is asked for again until this age."""
+"""A runner's report is some hundred milliseconds old. A report that counts fewer orders than the
+runner has accepted is requested again for this long."""
 
 REPLICA_PAUSE_MS: Final = 1_500
-"""A copy is loaded in 250 ms and then draws requests as others end: before that is seen in the load
-of its runner, a second one would be one too many."""
+"""Minimum time between two replica loads of an adapter. A replica is loaded in 250 ms and then gets
+requests as others end. Until this shows in the workload of its runner, a second replica would be
+one too many."""
 
 MAX_ADAPTERS_PER_PLAN: Final = 64
-"""Adapters that a place is looked for in one plan, most urgent first: more than the weight store
-sends at once. With 400 waiting before 44 runners a plan took 81 ms, and orders waited for it; 14 ms
-now."""
+"""Number of adapters for which one plan looks for a runner, most urgent first: more than the weight
+store sends concurrently. With 400 queued requests and 44 runners, an unlimited plan took 81 ms,
+which delayed its own orders; with this limit it takes 14 ms."""
 
 USAGE_UPDATE_INTERVAL_MS: Final = 40
-"""How often use is added up: a fifth of the time for which nodes' word of it is good."""
+"""How often usage scores are updated: a fifth of the time for which nodes' heartbeats are valid."""
 
 MAX_QUEUE_CHECK_AGE_MS: Final = 100
-"""A look at all who wait is good for a newcomer so long: the longest pause between two plans."""
+"""How long a new request may be compared with the last check of the whole queue: the longest pause
+between two plans."""
 
 REQUEST_REPORT_DELAY_MS: Final = 250
-"""A request shows up in its node's next report, 200 ms later at most, and a moment on the way."""
+"""A request appears in its node's next heartbeat, at most 200 ms later, plus the network delay."""
 
 MIN_IDLE_SLOTS: Final = 2
-"""Places that stay for who comes next while copies are made."""
+"""Number of idle slots that replicas leave for the next requests."""
 
 
 class AdapterScheduler:
-    """The seats of all runners of one cell, and who waits for one.
+    """The slots of all runners of one cell, and the queue of requests that wait for one.
+
+    It runs at the lease holder of the cell.
 
-    :param newest: the newest version by adapter, where the operator named one.
-    :param load_window_ms: the window in which loads of base models are counted.
-    :param over: tells whether a version may soon begin no more, so that its runners must drop it.
-    :param since_ms: since when this node gives orders to the cell's runners.
+    :param newest_by_adapter: newest version by adapter, for adapters with one set by the operator.
+    :param load_window_ms: window in which loads of base models are counted.
+    :param is_retired: tells whether requests may soon no longer start on a version, so that its
+        runners must unload it.
+    :param holder_since_ms: when this node became the lease holder of the cell.
     """
 
     def __init__(
@@ -110,30 +118,30 @@
         holder_since_ms: int = LONG_AGO_MS,
     ) -> None:
         self.traits = traits
-        self._newest = newest_by_adapter
+        self._newest_by_adapter = newest_by_adapter
         self._is_retired = is_retired
         self.runners: dict[ServerLife, RunnerSlots] = {}
         self._queue: dict[QueuedRequest, None] = {}
-        self._settled_ms: int | None = None
-        self._heat = UsageScores()
-        self._idle = IdleSlots(self.runners, self._heat, newest_by_adapter)
-        self._kept = CachedCopies()
-        self._choice = LoadTargetSelector(self._kept)
-        self._loads_by_runner = RunnerWorkloads()
+        self._queue_processed_ms: int | None = None
+        self._usage_scores = UsageScores()
+        self._idle_slots = IdleSlots(self.runners, self._usage_scores, newest_by_adapter)
+        self._cached_copies = CachedCopies()
+        self._load_target_selector = LoadTargetSelector(self._cached_copies)
+        self._workloads = RunnerWorkloads()
         self.load_limit = LoadLimit()
-        self._ticked_ms = 0
-        self._model_loads = ModelLoadLimit(traits.loads_per_s, load_window_ms, holder_since_ms)
-        self._pace = QueueAdmission()
+        self._usage_updated_ms = 0
+        self._model_load_limit = ModelLoadLimit(traits.loads_per_s, load_window_ms, holder_since_ms)
+        self._admission = QueueAdmission()
         self._grants = RecentlySent(REQUEST_REPORT_DELAY_MS)
-        self._returners = ReturningCallers()
+        self._returning_callers = ReturningCallers()
         self.load_count = 0
         self.cold_load_count = 0
         self.replica_load_count = 0
-        self._copied_ms: dict[str, int] = {}
+        self._replicated_ms_by_adapter: dict[str, int] = {}
 
     @property
     def queued_requests(self) -> list[QueuedRequest]:
-        """Return who waits."""
+        """Return the requests that wait for a slot."""
         return list(self._queue)
 
     def add_runner(
@@ -142,15 +150,16 @@
         history: Iterable[AdapterRef] = (),
         restarted_ms: int | None = None,
     ) -> None:
-        """Take a runner into the cell.
+        """Add a runner to the cell.
 
-        :param history: what it held before, oldest first.
-        :param restarted_ms: when it was first heard of, where it follows another life of its id.
+        :param history: adapters that it held before, oldest first.
+        :param restarted_ms: when it was first seen, if it is a restarted process with the id of an
+            earlier one.
         """
         if life in self.runners:
             return
         runner = self.runners[life] = RunnerSlots(
-            life, slot_count(self.traits), cached_copies=self._kept
+            life, slot_count(self.traits), cached_copies=self._cached_copies
         )
         if restarted_ms is not None:
             runner.spare_slot_until_ms = restarted_ms + MAX_ORDER_DELAY_MS
@@ -158,29 +167,29 @@
             runner.add_cached_copy(ref)
 
     def remove_runner(self, life: ServerLife) -> None:
-        """Take a runner out of the cell."""
+        """Remove a runner from the cell."""
         runner = self.runners.pop(life, None)
         if runner is not None:
             runner.remove_cached_copies()
-        self._loads_by_runner.remove_runner(life)
+        self._workloads.remove_runner(life)
         self._grants.forget(life)
 
     def mark_unconfirmed(self, life: ServerLife, name: str, now_ms: int) -> None:
-        """Take a runner's own word that it lacks an adapter that is believed to be there.
+        """Mark an adapter as unconfirmed, because its runner reported that it lacks it.
 
-        The load is ordered once more: it does nothing where the adapter is there after all, and
-        nobody is sent to it before. An order of a former holder that was carried out late has
-        unloaded it unseen.
+        A delayed order of a former lease holder may have unloaded the adapter unnoticed. The load
+        is ordered again, which has no effect if the adapter is there after all, and no request is
+        sent to it until the load is complete.
         """
         runner = self.runners.get(life)
-        seat = runner.ready_slot(name) if runner is not None else None
-        if seat is not None:
-            seat.state = SlotState.LOADING
-            seat.state_since_ms = seat.confirm_at_ms = now_ms
-            seat.concurrent_loads = 0
+        slot = runner.ready_slot(name) if runner is not None else None
+        if slot is not None:
+            slot.state = SlotState.LOADING
+            slot.state_since_ms = slot.confirm_at_ms = now_ms
+            slot.concurrent_loads = 0
 
     def handle_report(self, life: ServerLife, report: RunnerReport | None, now_ms: int) -> None:
-        """Take a runner's report, asked for because its state was unclear."""
+        """Handle a runner's report, which was requested because its state was unknown."""
         runner = self.runners.get(life)
         if runner is None:
             return
@@ -188,14 +197,14 @@
         runner.report_due_ms = now_ms + REPORT_RETRY_MS
         if report is None:
             return
-        overtaken = runner.sequence is not None and report.sequence < runner.sequence
-        if overtaken and now_ms - runner.sequence_updated_ms < MAX_REPORT_AGE_MS:
+        is_outdated = runner.sequence is not None and report.sequence < runner.sequence
+        if is_outdated and now_ms - runner.sequence_updated_ms < MAX_REPORT_AGE_MS:
             return
         runner.apply_report(report, now_ms)
         runner.report_due_ms = 0
 
     def runners_needing_report(self, now_ms: int) -> list[str]:
-        """Return the runners that must be asked what they hold."""
+        """Return the runners whose report must be requested now."""
         return [
             runner.life
             for runner in self.runners.values()
@@ -205,469 +214,503 @@
         ]
 
     def request_slot(
-        self, waiter: QueuedRequest, now_ms: int, work: dict[ServerLife, ServerWork]
+        self, request: QueuedRequest, now_ms: int, work: dict[ServerLife, ServerWork]
     ) -> None:
-        """Take a request that needs an adapter; it is settled now or later.
+        """Assign a slot to a request, refuse it, or add it to the queue.
 
-        Only its own adapter's seats are looked at; the others who wait have their turn in the next
-        plan.
+        Only the slots of its own adapter are examined; other queued requests are examined in the
+        next plan.
         """
-        self._heat.add(waiter.adapter_name, REQUEST_USAGE_SCORE, now_ms)
-        self._recognise(waiter, now_ms)
-        waiter.expected_load_ms = self._load_ms(waiter)
-        outlasted_ms = self._outlasted_ms(waiter, now_ms, work)
-        if outlasted_ms is not None:
-            self._refuse(waiter, NoSlot(max(MIN_DRAIN_MS, outlasted_ms)), now_ms)
+        self._usage_scores.add(request.adapter_name, REQUEST_USAGE_SCORE, now_ms)
+        self._restore_first_attempt(request, now_ms)
+        request.expected_load_ms = self._expected_load_ms(request)
+        overrun_ms = self._prefill_overrun_ms(request, now_ms, work)
+        if overrun_ms is not None:
+            self._refuse(request, NoSlot(max(MIN_DRAIN_MS, overrun_ms)), now_ms)
             return
-        if self._settled_ms is None or now_ms - self._settled_ms > MAX_QUEUE_CHECK_AGE_MS:
-            self._queue[waiter] = None
+        if (
+            self._queue_processed_ms is None
+            or now_ms - self._queue_processed_ms > MAX_QUEUE_CHECK_AGE_MS
+        ):
+            self._queue[request] = None
             self.process_queue(now_ms, work)
             return
-        if self._place(waiter, self._ready_seats(waiter.adapter_name), now_ms, work):
+        if self._assign_slot(request, self._ready_slots(request.adapter_name), now_ms, work):
             return
-        refusal = self._pace.check_new_request(waiter, now_ms)
+        refusal = self._admission.check_new_request(request, now_ms)
         if refusal is None:
-            self._queue[waiter] = None
+            self._queue[request] = None
         else:
-            self._refuse(waiter, refusal, now_ms)
+            self._refuse(request, refusal, now_ms)
 
-    def _ready_seats(self, name: str) -> list[SlotOnRunner]:
+    def _ready_slots(self, name: str) -> list[SlotOnRunner]:
         return [
-            (runner, seat)
+            (runner, slot)
             for runner in self.runners.values()
-            if (seat := runner.slots.get(name)) is not None and seat.state is SlotState.READY
+            if (slot := runner.slots.get(name)) is not None and slot.state is SlotState.READY
         ]
 
-    def _place(
+    def _assign_slot(
         self,
-        waiter: QueuedRequest,
+        request: QueuedRequest,
         ready: Sequence[SlotOnRunner],
         now_ms: int,
         work: dict[ServerLife, ServerWork],
     ) -> bool:
-        """Give a request a place where its adapter can serve now; return whether there is one."""
-        held = self._held(waiter, ready, work, now_ms)
-        if held is None:
+        """Assign a slot where the adapter is ready; return whether there was one."""
+        found = self._find_slot(request, ready, work, now_ms)
+        if found is None:
             return False
-        runner, seat = held
-        seat.granted_until_ms = now_ms + GRANT_HOLD_MS
-        seat.last_used_ms = now_ms
-        self._grants.add(runner.life, waiter.prompt_tokens, now_ms)
-        self._pace.record_assignment(waiter, now_ms)
-        waiter.on_result(Placed(runner.life, seat.ref.version, waiter.tried_ms))
+        runner, slot = found
+        slot.granted_until_ms = now_ms + GRANT_HOLD_MS
+        slot.last_used_ms = now_ms
+        self._grants.add(runner.life, request.prompt_tokens, now_ms)
+        self._admission.record_assignment(request, now_ms)
+        request.on_result(Placed(runner.life, slot.ref.version, request.tried_ms))
         return True
 
-    def _refuse(self, waiter: QueuedRequest, refusal: NoSlot, now_ms: int) -> None:
-        self._sent_away(waiter, now_ms)
-        waiter.on_result(refusal)
+    def _refuse(self, request: QueuedRequest, refusal: NoSlot, now_ms: int) -> None:
+        self._record_refusal(request, now_ms)
+        request.on_result(refusal)
 
-    def _recognise(self, waiter: QueuedRequest, now_ms: int) -> None:
-        """Count the time of a caller that was sent away and comes back from its first try."""
-        if waiter.session_key is None:
+    def _restore_first_attempt(self, request: QueuedRequest, now_ms: int) -> None:
+        """Count the time of a returning caller from its first attempt."""
+        if request.session_key is None:
             return
-        since_ms = self._returners.first_attempt_ms(
-            (waiter.adapter_name, waiter.session_key), now_ms
+        first_attempt_ms = self._returning_callers.first_attempt_ms(
+            (request.adapter_name, request.session_key), now_ms
         )
-        if since_ms is not None and since_ms < waiter.first_attempt_ms:
-            further_ms = waiter.first_attempt_ms - since_ms
-            waiter.first_attempt_ms = since_ms
-            waiter.tried_ms += further_ms
-            waiter.on_time_until_ms -= further_ms
-
-    def _sent_away(self, waiter: QueuedRequest, now_ms: int) -> None:
-        if waiter.session_key is not None:
-            self._returners.record_refusal(
-                (waiter.adapter_name, waiter.session_key), waiter.first_attempt_ms, now_ms
+        if first_attempt_ms is not None and first_attempt_ms < request.first_attempt_ms:
+            earlier_ms = request.first_attempt_ms - first_attempt_ms
+            request.first_attempt_ms = first_attempt_ms
+            request.tried_ms += earlier_ms
+            request.on_time_until_ms -= earlier_ms
+
+    def _record_refusal(self, request: QueuedRequest, now_ms: int) -> None:
+        if request.session_key is not None:
+            self._returning_callers.record_refusal(
+                (request.adapter_name, request.session_key), request.first_attempt_ms, now_ms
             )
 
-    def _load_ms(self, waiter: QueuedRequest) -> int:
-        return WARM_LOAD_MS if self._kept.runners_with(self._newest_ref(waiter)) else COLD_LOAD_MS
+    def _expected_load_ms(self, request: QueuedRequest) -> int:
+        return (
+            WARM_LOAD_MS
+            if self._cached_copies.runners_with(self._newest_ref(request))
+            else COLD_LOAD_MS
+        )
 
-    def remove_request(self, waiter: QueuedRequest, now_ms: int) -> None:
-        """Drop a request that no longer waits."""
-        if waiter in self._queue:
-            del self._queue[waiter]
-            self._sent_away(waiter, now_ms)
+    def remove_request(self, request: QueuedRequest, now_ms: int) -> None:
+        """Remove a request that no longer waits from the queue."""
+        if request in self._queue:
+            del self._queue[request]
+            self._record_refusal(request, now_ms)
 
     def close(self) -> None:
-        """Send all who wait elsewhere: the duty is another node's now."""
-        waiters, self._queue = self._queue, {}
-        for waiter in waiters:
-            waiter.on_result(None)
+        """Send all queued requests to another node, when this one loses the cell lease."""
+        requests, self._queue = self._queue, {}
+        for request in requests:
+            request.on_result(None)
 
     def process_queue(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
-        """Settle those whose adapter can serve, and those that can't be served in time."""
-        left: dict[QueuedRequest, None] = {}
-        ready = self._seats_by_name(SlotState.READY)
-        for waiter in in_service_order(self._queue, now_ms):
-            seats = ready.get(waiter.adapter_name)
-            if seats is None or not self._place(waiter, seats, now_ms, work):
-                left[waiter] = None
-        places = sum(runner.slot_count for runner in self.runners.values())
-        idle = self._idle.count(now_ms, work)
-        for waiter, refusal in self._pace.check_queue(list(left), places, idle, now_ms):
-            del left[waiter]
-            self._refuse(waiter, refusal, now_ms)
-        self._queue = left
-        self._settled_ms = now_ms
+        """Assign slots to queued requests, and refuse those that can't be served in time."""
+        remaining: dict[QueuedRequest, None] = {}
+        ready = self._slots_by_adapter(SlotState.READY)
+        for request in in_service_order(self._queue, now_ms):
+            slots = ready.get(request.adapter_name)
+            if slots is None or not self._assign_slot(request, slots, now_ms, work):
+                remaining[request] = None
+        total_slots = sum(runner.slot_count for runner in self.runners.values())
+        idle_count = self._idle_slots.count(now_ms, work)
+        for request, refusal in self._admission.check_queue(
+            list(remaining), total_slots, idle_count, now_ms
+        ):
+            del remaining[request]
+            self._refuse(request, refusal, now_ms)
+        self._queue = remaining
+        self._queue_processed_ms = now_ms
 
     def process_queue_for_adapter(
         self, name: str, now_ms: int, work: dict[ServerLife, ServerWork]
     ) -> None:
-        """Settle those who wait for an adapter that has just come."""
-        waiting = [waiter for waiter in self._queue if waiter.adapter_name == name]
-        for waiter in waiting:
-            if self._place(waiter, self._ready_seats(name), now_ms, work):
-                del self._queue[waiter]
+        """Assign slots to the queued requests for an adapter that was just loaded."""
+        waiting = [request for request in self._queue if request.adapter_name == name]
+        for request in waiting:
+            if self._assign_slot(request, self._ready_slots(name), now_ms, work):
+                del self._queue[request]
 
-    def _held(
+    def _find_slot(
         self,
-        waiter: QueuedRequest,
+        request: QueuedRequest,
         ready: Sequence[SlotOnRunner],
         work: dict[ServerLife, ServerWork],
         now_ms: int,
     ) -> SlotOnRunner | None:
-        """Return where a request can be served now, the least crowded of several.
+        """Return a slot that can serve a request now, at the runner with the smallest workload.
 
-        Where its caller leaves before it is read it can't be: it would only lengthen the queue.
+        Runners that can't complete the prefill before the caller leaves are left out: the request
+        would only lengthen their queue.
         """
         found = []
-        for runner, seat in ready:
-            if runner.life in waiter.excluded_runners or seat.ref.version < waiter.min_version:
+        for runner, slot in ready:
+            if runner.life in request.excluded_runners or slot.ref.version < request.min_version:
                 continue
-            if self._is_retired(seat.ref):
+            if self._is_retired(slot.ref):
                 continue
-            granted = self._grants.tokens(runner.life, now_ms)
-            if waiter.can_prefill_in_time(work.get(runner.life, _NO_WORK), granted, now_ms):
-                found.append((_crowd(work, runner.life) + granted, len(found), runner, seat))
+            granted_tokens = self._grants.tokens(runner.life, now_ms)
+            if request.can_prefill_in_time(work.get(runner.life, _NO_WORK), granted_tokens, now_ms):
+                found.append(
+                    (_workload(work, runner.life) + granted_tokens, len(found), runner, slot)
+                )
         return min(found)[2:] if found else None
 
-    def _outlasted_ms(
-        self, waiter: QueuedRequest, now_ms: int, work: dict[ServerLife, ServerWork]
+    def _prefill_overrun_ms(
+        self, request: QueuedRequest, now_ms: int, work: dict[ServerLife, ServerWork]
     ) -> int | None:
-        """Return when a request can come back that no runner can read in time.
+        """Return how much too late the prefill of a request would be complete, at the best runner.
 
-        ``None`` where one can: then it may wait for its adapter.
+        ``None`` if a runner completes it in time: then the request may wait for its adapter.
         """
-        if waiter.read_by_ms is None:
+        if request.read_by_ms is None:
             return None
-        least_ms: int | None = None
+        min_overrun_ms: int | None = None
         for runner in self.runners.values():
-            if runner.life in waiter.excluded_runners:
+            if runner.life in request.excluded_runners:
                 continue
-            at = work.get(runner.life, _NO_WORK)
-            if waiter.can_prefill_in_time(at, 0, now_ms):
-                # Usually the first one that is looked at.
+            runner_work = work.get(runner.life, _NO_WORK)
+            if request.can_prefill_in_time(runner_work, 0, now_ms):
+                # Usually this is the first runner examined.
                 return None
-            late_ms = waiter.prefill_done_ms(at, 0, now_ms) - waiter.read_by_ms
-            least_ms = late_ms if least_ms is None else min(least_ms, late_ms)
-        return least_ms
+            overrun_ms = request.prefill_done_ms(runner_work, 0, now_ms) - request.read_by_ms
+            min_overrun_ms = (
+                overrun_ms if min_overrun_ms is None else min(min_overrun_ms, overrun_ms)
+            )
+        return min_overrun_ms
 
-    def _seats_by_name(self, state: SlotState) -> dict[str, list[SlotOnRunner]]:
-        """Return the seats in a state by adapter: looked for by each of hundreds who wait."""
-        found: dict[str, list[SlotOnRunner]] = {}
+    def _slots_by_adapter(self, state: SlotState) -> dict[str, list[SlotOnRunner]]:
+        """Return the slots in a state by adapter, for lookups by hundreds of queued requests."""
+        slots_by_adapter: dict[str, list[SlotOnRunner]] = {}
         for runner in self.runners.values():
-            for name, seat in runner.slots.items():
-                if seat.state is state:
-                    found.setdefault(name, []).append((runner, seat))
-        return found
+            for name, slot in runner.slots.items():
+                if slot.state is state:
+                    slots_by_adapter.setdefault(name, []).append((runner, slot))
+        return slots_by_adapter
 
     def plan(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> list[OrderStep]:
-        """Return the orders to send now, at most one a runner.
+        """Return the orders to send now, at most one per runner.
 
-        :param work: what all nodes have in progress by runner.
+        :param work: requests of all nodes in progress, by runner.
         """
-        self._tick(now_ms, work)
+        self._update_usage(now_ms, work)
         steps = []
         for runner in self.runners.values():
-            step = self._overdue(runner, now_ms)
+            step = self._follow_up_step(runner, now_ms)
             if step is not None:
                 runner.has_call_in_progress = True
                 steps.append(step)
-        takers = CandidateRunners(self._idle, now_ms, work, self.load_limit.may_be_in_progress)
-        steps += self._copies(now_ms, work, takers)
-        steps += self._loads(now_ms, work, takers)
-        self._note_among(steps, takers.cold_loads_in_progress)
+        candidates = CandidateRunners(
+            self._idle_slots, now_ms, work, self.load_limit.may_be_in_progress
+        )
+        steps += self._replica_steps(now_ms, work, candidates)
+        steps += self._load_steps(now_ms, work, candidates)
+        self._record_concurrent_loads(steps, candidates.cold_loads_in_progress)
         return steps
 
-    def _note_among(self, steps: list[OrderStep], cold_incoming: int) -> None:
-        """Note beside how many others loads began: those of one plan begin together."""
+    def _record_concurrent_loads(self, steps: list[OrderStep], cold_loads_in_progress: int) -> None:
+        """Record the number of concurrent loads, which is the same for all loads of one plan."""
         for step in steps:
-            seat = self.runners[step.life].slots.get(step.name)
-            if step.operation is Operation.LOAD and not step.is_confirmation and seat is not None:
-                seat.concurrent_loads = cold_incoming
+            slot = self.runners[step.life].slots.get(step.name)
+            if step.operation is Operation.LOAD and not step.is_confirmation and slot is not None:
+                slot.concurrent_loads = cold_loads_in_progress
 
-    def _overdue(self, runner: RunnerSlots, now_ms: int) -> OrderStep | None:
-        """Return what a runner is to be told before anything new."""
+    def _follow_up_step(self, runner: RunnerSlots, now_ms: int) -> OrderStep | None:
+        """Return the order that a runner must get before any new load."""
         if runner.has_call_in_progress or not runner.is_known() or runner.report_due_ms:
             return None
         if runner.unconfirmed_order is not None:
             return runner.unconfirmed_order
         if runner.model is None:
-            return self._model_step(runner, now_ms)
-        # Before the questions: four late loads, asked for each 20 ms, held it up for 2.4 s.
-        closing = self._closing(runner, now_ms)
-        if closing is not None:
-            return closing
-        for seat in runner.slots.values():
-            if seat.state is SlotState.LOADING and now_ms >= seat.confirm_at_ms:
-                return self._step(runner, Operation.LOAD, seat.ref, confirms=True)
-            if seat.state is SlotState.UNLOADING and now_ms >= seat.confirm_at_ms:
-                return self._step(runner, Operation.UNLOAD, seat.ref, confirms=True)
+            return self._model_load_step(runner, now_ms)
+        # Retired versions come before confirmations: asking about four late loads every 20 ms
+        # delayed an unload by 2.4 s.
+        unload = self._retired_unload_step(runner, now_ms)
+        if unload is not None:
+            return unload
+        for slot in runner.slots.values():
+            if slot.state is SlotState.LOADING and now_ms >= slot.confirm_at_ms:
+                return self._make_step(runner, Operation.LOAD, slot.ref, is_confirmation=True)
+            if slot.state is SlotState.UNLOADING and now_ms >= slot.confirm_at_ms:
+                return self._make_step(runner, Operation.UNLOAD, slot.ref, is_confirmation=True)
         return None
 
-    def _closing(self, runner: RunnerSlots, now_ms: int) -> OrderStep | None:
-        """Return the unload of a version whose time is over.
+    def _retired_unload_step(self, runner: RunnerSlots, now_ms: int) -> OrderStep | None:
+        """Return the unload of a retired version, if the runner holds one.
 
-        A runner may keep what waits in its queue for seconds, also when its node has closed the
-        connection, and begin it on the old version; told to unload, it refuses what has not begun.
+        A runner may keep requests in its queue for seconds, even when their node has closed the
+        connection, and start them on the old version. Once it is ordered to unload the version, it
+        refuses requests that have not started.
         """
-        for seat in runner.slots.values():
-            if seat.state is SlotState.READY and self._is_retired(seat.ref):
-                return self._drop(runner, seat, now_ms)
+        for slot in runner.slots.values():
+            if slot.state is SlotState.READY and self._is_retired(slot.ref):
+                return self._unload_step(runner, slot, now_ms)
         return None
 
-    def _drop(self, runner: RunnerSlots, seat: Slot, now_ms: int) -> OrderStep:
-        seat.state = SlotState.UNLOADING
-        seat.state_since_ms = now_ms
-        return self._step(runner, Operation.UNLOAD, seat.ref)
+    def _unload_step(self, runner: RunnerSlots, slot: Slot, now_ms: int) -> OrderStep:
+        slot.state = SlotState.UNLOADING
+        slot.state_since_ms = now_ms
+        return self._make_step(runner, Operation.UNLOAD, slot.ref)
 
-    def _model_step(self, runner: RunnerSlots, now_ms: int) -> OrderStep | None:
+    def _model_load_step(self, runner: RunnerSlots, now_ms: int) -> OrderStep | None:
         if runner.loading_model is not None:
             if now_ms < runner.model_confirm_at_ms:
                 return None
             name = runner.loading_model
             return OrderStep(runner.life, Operation.LOAD, name, None, runner.sequence or 0, True)
-        name = self._model_wanted()
-        if name is None or not self._model_loads.allows(now_ms):
+        name = self._next_model_to_load()
+        if name is None or not self._model_load_limit.allows(now_ms):
             return None
         runner.loading_model = name
         runner.model_load_started_ms = now_ms
-        self._model_loads.record_start(now_ms)
+        self._model_load_limit.record_start(now_ms)
         return OrderStep(runner.life, Operation.LOAD, name, None, runner.sequence or 0)
 
-    def _model_wanted(self) -> str | None:
-        """Return the base model with the fewest runners."""
-        held: dict[str, int] = {model.name: 0 for model in self.traits.models}
+    def _next_model_to_load(self) -> str | None:
+        """Return the base model with the fewest runners, among those that fit into memory."""
+        runner_count: dict[str, int] = {model.name: 0 for model in self.traits.models}
         for runner in self.runners.values():
             name = runner.model or runner.loading_model
-            if name in held:
-                held[name] += 1
+            if name in runner_count:
+                runner_count[name] += 1
         fits = [m.name for m in self.traits.models if m.memory_mb <= self.traits.weights_mb]
-        return min(fits, key=lambda name: held[name], default=None)
+        return min(fits, key=lambda name: runner_count[name], default=None)
 
-    def _loads(
-        self, now_ms: int, work: dict[ServerLife, ServerWork], takers: CandidateRunners
+    def _load_steps(
+        self, now_ms: int, work: dict[ServerLife, ServerWork], candidates: CandidateRunners
     ) -> list[OrderStep]:
-        """Return loads for those who wait, most urgent first, and the unloads they need."""
+        """Return loads for queued requests, most urgent first, and the unloads that they need."""
         steps = []
-        seen: set[str] = set()
-        held_back = False
-        for waiter in in_service_order(self._queue, now_ms):
-            if waiter.adapter_name in seen or _coming(
-                waiter, takers.loading_slots(waiter.adapter_name)
+        examined: set[str] = set()
+        is_limited = False
+        for request in in_service_order(self._queue, now_ms):
+            if request.adapter_name in examined or _is_loading(
+                request, candidates.loading_slots(request.adapter_name)
             ):
                 continue
-            if len(seen) >= MAX_ADAPTERS_PER_PLAN:
+            if len(examined) >= MAX_ADAPTERS_PER_PLAN:
                 break
-            seen.add(waiter.adapter_name)
-            may_fetch = self.load_limit.allows(takers.cold_loads_in_progress, now_ms)
-            held_back = held_back or not may_fetch
-            ref = self._newest_ref(waiter)
-            runner = self._choice.select(waiter, ref, takers, may_fetch)
+            examined.add(request.adapter_name)
+            is_cold_allowed = self.load_limit.allows(candidates.cold_loads_in_progress, now_ms)
+            is_limited = is_limited or not is_cold_allowed
+            ref = self._newest_ref(request)
+            runner = self._load_target_selector.select(request, ref, candidates, is_cold_allowed)
             if runner is None:
                 continue
-            step = self._make_room_or_load(runner, ref, now_ms, work, takers)
+            step = self._unload_or_load_step(runner, ref, now_ms, work, candidates)
             if step is not None:
                 steps.append(step)
-        if not held_back:
+        if not is_limited:
             self.load_limit.mark_unconstrained()
         return steps
 
-    def _copies(
-        self, now_ms: int, work: dict[ServerLife, ServerWork], takers: CandidateRunners
+    def _replica_steps(
+        self, now_ms: int, work: dict[ServerLife, ServerWork], candidates: CandidateRunners
     ) -> list[OrderStep]:
-        """Return the load of an adapter that crowds its runner at a second one.
+        """Return the load of a replica of an adapter that overloads its runner.
 
-        Only while places are left over: with all places in use a copy would take one from somebody
-        who has none at all.
+        Replicas are only loaded while there are spare slots. With all slots in use, a replica would
+        take one from a request whose adapter has none at all.
         """
-        left_over = takers.idle_slot_count - len({w.adapter_name for w in self._queue})
-        if left_over < MIN_IDLE_SLOTS:
+        spare_slots = candidates.idle_slot_count - len(
+            {request.adapter_name for request in self._queue}
+        )
+        if spare_slots < MIN_IDLE_SLOTS:
             return []
-        wanted = find_wanted_replica(self.runners.values(), self._loads_by_runner, work)
-        last_ms = self._copied_ms.get(wanted.adapter_name, 0) if wanted is not None else 0
+        wanted = find_wanted_replica(self.runners.values(), self._workloads, work)
+        last_ms = (
+            self._replicated_ms_by_adapter.get(wanted.adapter_name, 0) if wanted is not None else 0
+        )
         if wanted is None or now_ms - last_ms < REPLICA_PAUSE_MS:
             return []
-        worth = self._heat.score_of(wanted.adapter_name, now_ms) / (wanted.replica_count + 1)
+        replica_value = self._usage_scores.score_of(wanted.adapter_name, now_ms) / (
+            wanted.replica_count + 1
+        )
         for runner in wanted.targets:
             if runner.available_slots(now_ms) <= 0:
-                seat = self._idle.least_valuable(runner, now_ms, work)
-                if seat is None or self._idle.value_of(seat, now_ms) > worth:
+                slot = self._idle_slots.least_valuable(runner, now_ms, work)
+                if slot is None or self._idle_slots.value_of(slot, now_ms) > replica_value:
                     continue
             ref = AdapterRef(wanted.adapter_name, wanted.version)
-            step = self._make_room_or_load(runner, ref, now_ms, work, takers)
+            step = self._unload_or_load_step(runner, ref, now_ms, work, candidates)
             if step is None:
                 continue
             if step.operation is Operation.LOAD:
                 self.replica_load_count += 1
-                self._copied_ms[wanted.adapter_name] = now_ms
+                self._replicated_ms_by_adapter[wanted.adapter_name] = now_ms
             return [step]
         return []
 
-    def _make_room_or_load(
+    def _unload_or_load_step(
         self,
         runner: RunnerSlots,
         ref: AdapterRef,
         now_ms: int,
         work: dict[ServerLife, ServerWork],
-        takers: CandidateRunners,
+        candidates: CandidateRunners,
     ) -> OrderStep | None:
-        old = runner.slots.get(ref.name)
-        if runner.available_slots(now_ms) <= 0 and old is None:
-            unused = self._idle.least_valuable(runner, now_ms, work)
-            if unused is None:
+        current_slot = runner.slots.get(ref.name)
+        if runner.available_slots(now_ms) <= 0 and current_slot is None:
+            idle_slot = self._idle_slots.least_valuable(runner, now_ms, work)
+            if idle_slot is None:
                 return None
-            step = self._drop(runner, unused, now_ms)
+            step = self._unload_step(runner, idle_slot, now_ms)
         else:
-            step = self._load(runner, ref, now_ms)
+            step = self._load_step(runner, ref, now_ms)
         runner.has_call_in_progress = True
-        takers.refresh(runner)
+        candidates.refresh(runner)
         return step
 
-    def _load(self, runner: RunnerSlots, ref: AdapterRef, now_ms: int) -> OrderStep:
-        seat = runner.reserve_slot(ref, now_ms)
+    def _load_step(self, runner: RunnerSlots, ref: AdapterRef, now_ms: int) -> OrderStep:
+        slot = runner.reserve_slot(ref, now_ms)
         self.load_count += 1
-        self.cold_load_count += seat.is_cold
+        self.cold_load_count += slot.is_cold
         version = ref.version if ref.version > 1 else None
         return OrderStep(runner.life, Operation.LOAD, ref.name, version, runner.sequence or 0)
 
-    def _newest_ref(self, waiter: QueuedRequest) -> AdapterRef:
+    def _newest_ref(self, request: QueuedRequest) -> AdapterRef:
         return AdapterRef(
-            waiter.adapter_name, max(waiter.min_version, self._newest.get(waiter.adapter_name, 1))
+            request.adapter_name,
+            max(request.min_version, self._newest_by_adapter.get(request.adapter_name, 1)),
         )
 
-    def handle_order_result(self, step: OrderStep, answer: OrderResult, now_ms: int) -> bool:
-        """Take the answer to an order; return whether the duty is still this node's."""
+    def handle_order_result(self, step: OrderStep, result: OrderResult, now_ms: int) -> bool:
+        """Handle the result of an order; return whether this node still holds the cell lease."""
         runner = self.runners.get(step.life)
         if runner is None:
-            return not isinstance(answer, Superseded)
+            return not isinstance(result, Superseded)
         runner.has_call_in_progress = False
-        match answer:
-            case Accepted(complete=complete):
-                self._accepted(runner, step, complete, now_ms)
+        match result:
+            case Accepted(complete=is_complete):
+                self._handle_accepted(runner, step, is_complete, now_ms)
             case Unanswered():
-                # Sent again under the same condition: whichever of the two is carried out first
-                # makes the other fail, so the order takes effect once.
+                # The order is repeated under the same condition: whichever of the two is carried
+                # out first makes the other fail, so the order takes effect only once.
                 runner.unconfirmed_order = step
             case Stale():
-                self._unclear(runner, step, now_ms)
+                self._request_report(runner, step, now_ms)
             case Unusable():
                 self._undo(runner, step)
-                self._unclear(runner, step, now_ms)
+                self._request_report(runner, step, now_ms)
             case Gone():
                 self.remove_runner(step.life)
             case Superseded():
                 return False
         return True
 
-    def _accepted(self, runner: RunnerSlots, step: OrderStep, complete: bool, now_ms: int) -> None:
+    def _handle_accepted(
+        self, runner: RunnerSlots, step: OrderStep, is_complete: bool, now_ms: int
+    ) -> None:
         if not step.is_confirmation or step is runner.unconfirmed_order:
             runner.sequence = step.sequence + (not step.is_confirmation)
             runner.sequence_updated_ms = now_ms
         runner.unconfirmed_order = None
         if "/" not in step.name:
-            if complete:
+            if is_complete:
                 runner.model, runner.loading_model = step.name, None
             runner.model_confirm_at_ms = now_ms + MODEL_CONFIRM_INTERVAL_MS
             return
-        seat = runner.slots.get(step.name)
-        if seat is None:
+        slot = runner.slots.get(step.name)
+        if slot is None:
             return
-        if complete:
+        if is_complete:
             if step.operation is Operation.LOAD:
-                if seat.is_cold and seat.state is SlotState.LOADING and seat.concurrent_loads:
-                    # Counted to when the question was due: a busy holder that asks late would take
-                    # the store for slow.
-                    seen_ms = seat.confirm_at_ms if step.is_confirmation else now_ms
+                if slot.is_cold and slot.state is SlotState.LOADING and slot.concurrent_loads:
+                    # The duration is counted until the confirmation was due: a busy lease holder
+                    # that asks late would otherwise mistake its own delay for a slow store.
+                    completed_ms = slot.confirm_at_ms if step.is_confirmation else now_ms
                     self.load_limit.record_load(
-                        seen_ms - seat.state_since_ms, seat.concurrent_loads, now_ms
+                        completed_ms - slot.state_since_ms, slot.concurrent_loads, now_ms
                     )
                 runner.mark_loaded(step.name, now_ms)
             else:
                 runner.mark_unloaded(step.name)
             return
-        usual_ms = COLD_LOAD_MS if seat.is_cold else WARM_LOAD_MS
+        confirm_after_ms = COLD_LOAD_MS if slot.is_cold else WARM_LOAD_MS
         if step.operation is Operation.UNLOAD:
-            # It waits for its runs, seconds if they are long: asked again ever more seldom.
-            usual_ms = CONFIRM_INTERVAL_MS + int(
-                (now_ms - seat.state_since_ms) * UNLOAD_CONFIRM_SHARE
+            # The unload waits for running requests, which may take seconds: the runner is asked at
+            # growing intervals.
+            confirm_after_ms = CONFIRM_INTERVAL_MS + int(
+                (now_ms - slot.state_since_ms) * UNLOAD_CONFIRM_SHARE
             )
         elif step.is_confirmation:
-            usual_ms = CONFIRM_INTERVAL_MS
-        seat.confirm_at_ms = now_ms + usual_ms
+            confirm_after_ms = CONFIRM_INTERVAL_MS
+        slot.confirm_at_ms = now_ms + confirm_after_ms
 
     def _undo(self, runner: RunnerSlots, step: OrderStep) -> None:
-        """Take back what was believed of an order that was never carried out."""
+        """Undo the assumed effect of an order that was never carried out."""
         if step.is_confirmation:
             return
         runner.unconfirmed_order = None
-        seat = runner.slots.get(step.name)
+        slot = runner.slots.get(step.name)
         if "/" not in step.name:
             runner.loading_model = None
-            self._model_loads.undo_start()
-        elif seat is not None and step.operation is Operation.LOAD:
+            self._model_load_limit.undo_start()
+        elif slot is not None and step.operation is Operation.LOAD:
             del runner.slots[step.name]
-        elif seat is not None:
-            seat.state = SlotState.READY
+        elif slot is not None:
+            slot.state = SlotState.READY
 
-    def _unclear(self, runner: RunnerSlots, step: OrderStep, now_ms: int) -> None:
-        """Ask the runner what it holds before it gets another order."""
+    def _request_report(self, runner: RunnerSlots, step: OrderStep, now_ms: int) -> None:
+        """Request a report from the runner before it gets another order."""
         if isinstance(step, OrderStep) and not step.is_confirmation:
             self._undo(runner, step)
         runner.unconfirmed_order = None
         runner.report_due_ms = now_ms + CONFIRM_INTERVAL_MS
 
-    def _step(
-        self, runner: RunnerSlots, operation: Operation, ref: AdapterRef, confirms: bool = False
+    def _make_step(
+        self,
+        runner: RunnerSlots,
+        operation: Operation,
+        ref: AdapterRef,
+        is_confirmation: bool = False,
     ) -> OrderStep:
         version = ref.version if operation is Operation.LOAD and ref.version > 1 else None
-        return OrderStep(runner.life, operation, ref.name, version, runner.sequence or 0, confirms)
+        return OrderStep(
+            runner.life, operation, ref.name, version, runner.sequence or 0, is_confirmation
+        )
 
-    def _tick(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
-        self._note_use(now_ms, work)
-        if now_ms - self._ticked_ms < USAGE_UPDATE_INTERVAL_MS:
+    def _update_usage(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
+        self._record_use(now_ms, work)
+        if now_ms - self._usage_updated_ms < USAGE_UPDATE_INTERVAL_MS:
             return
-        span_s = min(1.0, (now_ms - self._ticked_ms) / 1000)
-        self._ticked_ms = now_ms
+        elapsed_s = min(1.0, (now_ms - self._usage_updated_ms) / 1000)
+        self._usage_updated_ms = now_ms
         for life in self.runners:
-            at = work.get(life, _NO_WORK)
-            self._loads_by_runner.record(life, at, span_s)
-            for name, count in at.requests_by_adapter.items():
-                self._heat.add(name, count * span_s, now_ms)
-        self._heat.remove_unused(now_ms)
-
-    def _note_use(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
-        """Note which seats are seen in use: from here on the use itself keeps the place."""
+            runner_work = work.get(life, _NO_WORK)
+            self._workloads.record(life, runner_work, elapsed_s)
+            for name, count in runner_work.requests_by_adapter.items():
+                self._usage_scores.add(name, count * elapsed_s, now_ms)
+        self._usage_scores.remove_unused(now_ms)
+
+    def _record_use(self, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
+        """Record which slots are in use, since their use replaces the grant that kept them."""
         for life, runner in self.runners.items():
             for name in work.get(life, _NO_WORK).requests_by_adapter:
-                seat = runner.slots.get(name)
-                if seat is not None:
-                    seat.last_used_ms = now_ms
-                    seat.granted_until_ms = 0
+                slot = runner.slots.get(name)
+                if slot is not None:
+                    slot.last_used_ms = now_ms
+                    slot.granted_until_ms = 0
 
 
 _NO_WORK: Final = ServerWork()
 
 
-def _coming(waiter: QueuedRequest, loading: Sequence[SlotOnRunner]) -> bool:
-    """Tell whether an adapter is on its way to a runner that a request may go to."""
+def _is_loading(request: QueuedRequest, loading: Sequence[SlotOnRunner]) -> bool:
+    """Tell whether the adapter of a request is being loaded at a runner that may serve it."""
     return any(
-        runner.life not in waiter.excluded_runners and seat.ref.version >= waiter.min_version
-        for runner, seat in loading
+        runner.life not in request.excluded_runners and slot.ref.version >= request.min_version
+        for runner, slot in loading
     )
 
 
-def _crowd(work: dict[ServerLife, ServerWork], life: ServerLife) -> int:
-    at_server = work.get(life, _NO_WORK)
-    return at_server.pending_prefill_tokens + 60 * at_server.requests
+def _workload(work: dict[ServerLife, ServerWork], life: ServerLife) -> int:
+    runner_work = work.get(life, _NO_WORK)
+    return runner_work.pending_prefill_tokens + 60 * runner_work.requests
--- a/monsoonflow/placement/slots.py
+++ b/monsoonflow/placement/slots.py
@@ -1,4 +1,4 @@
-"""What one runner holds, as the holder of its duty knows it."""
+"""The adapter slots of one runner, as known to the lease holder of its cell."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from .cached_copies import CachedCopies
 
 MAX_CACHED_COPIES: Final = 64
-"""Adapters that a runner is thought to keep copies of after they were unloaded."""
+"""Number of unloaded adapters of which a runner is expected to keep a cached copy."""
 
 MAX_CONCURRENT_LOADS: Final = 4
-"""Adapters that may be on their way to one runner at the same time; it refuses more."""
+"""Number of adapters that one runner loads concurrently; it refuses more."""
 
 
 def slot_count(traits: EngineTraits) -> int:
-    """Return how many adapters a runner holds beside its base model."""
-    largest = max((model.memory_mb for model in traits.models), default=0.0)
+    """Return how many adapters a runner can hold in addition to its base model."""
+    largest_model_mb = max((model.memory_mb for model in traits.models), default=0.0)
     adapter_mb = max((model.adapter_mb for model in traits.models), default=0.0)
     if adapter_mb <= 0:
         return traits.adapter_slots
-    room = math.floor((traits.weights_mb - largest) / adapter_mb)
-    return max(0, min(traits.adapter_slots, room))
+    fitting = math.floor((traits.weights_mb - largest_model_mb) / adapter_mb)
+    return max(0, min(traits.adapter_slots, fitting))
 
 
 class SlotState(enum.Enum):
-    """How far an adapter is on a runner."""
+    """State of an adapter on a runner."""
 
     LOADING = "loading"
     READY = "ready"
@@ -43,12 +43,15 @@
 
 @attrs.define(slots=True)
 class Slot:
-    """An adapter's place on a runner.
-
-    :param check_at_ms: when to ask whether it is loaded.
-    :param used_ms: when it was last seen in use.
-    :param granted_until_ms: how long a request that was just sent here keeps it.
-    :param among: adapters on their way from the weight store when its load began; 0 unknown.
+    """An adapter's slot on a runner.
+
+    :param state_since_ms: when the load or unload was ordered, or the adapter was found ready.
+    :param confirm_at_ms: when to ask the runner whether the load or unload is complete.
+    :param last_used_ms: when the adapter was last seen in use.
+    :param granted_until_ms: until when the slot is kept for a request to which it was just granted.
+    :param is_cold: whether the adapter is fetched from the weight store, without a cached copy.
+    :param concurrent_loads: number of fetches from the weight store in progress when its load
+        started, including itself; 0 if unknown.
     """
 
     ref: AdapterRef
@@ -63,9 +66,10 @@
 
 @attrs.frozen(slots=True)
 class OrderStep:
-    """One order that should be sent now.
+    """An order to send to a runner now.
 
-    :param confirms: it only asks whether an order that was accepted is complete.
+    :param sequence: number of orders that the runner must have accepted before this one.
+    :param is_confirmation: whether it only asks if an order accepted earlier is complete.
     """
 
     life: ServerLife
@@ -78,13 +82,22 @@
 
 @attrs.define(slots=True)
 class RunnerSlots:
-    """The seats of one runner.
-
-    :param sequence: orders that it has accepted; ``None`` until it was asked.
-    :param doubtful: an order without an answer; it is sent again until it is settled.
-    :param remembered: adapters that it held, newest last; they load again in a tenth of the time.
-    :param kept: the same of all runners, by adapter.
-    :param spare_until_ms: until when one place stays free on a runner that has started again.
+    """The slots of one runner, its base model and the orders sent to it.
+
+    :param slot_count: number of adapters that it can hold.
+    :param model: base model that it holds.
+    :param loading_model: base model that it was ordered to load.
+    :param model_confirm_at_ms: when to ask whether the load of the base model is complete.
+    :param sequence: number of orders that it has accepted; ``None`` until it has reported.
+    :param has_call_in_progress: whether an order or a report request to it is in progress.
+    :param unconfirmed_order: an order without a response; it is repeated until its result is known.
+    :param report_due_ms: when to request a report; 0 if none is needed.
+    :param sequence_updated_ms: when ``sequence`` was last updated.
+    :param slots: its slots in use, by adapter name.
+    :param cached_adapters: adapters that it held, newest last; loading them again takes a tenth of
+        the time.
+    :param cached_copies: index of the cached adapters of all runners.
+    :param spare_slot_until_ms: until when one slot stays free on a restarted runner.
     """
 
     life: ServerLife
@@ -104,81 +117,84 @@
     spare_slot_until_ms: int = 0
 
     def is_known(self) -> bool:
-        """Tell whether orders can be given: the runner was asked what it holds."""
+        """Tell whether the runner has reported what it holds, so that it can be sent orders."""
         return self.sequence is not None
 
     def loading_count(self) -> int:
-        """Return how many adapters are on their way."""
+        """Return how many adapters are being loaded."""
         return len(self.loading_slots())
 
     def loading_slots(self) -> list[Slot]:
-        """Return the seats of adapters that are on their way."""
+        """Return the slots of adapters that are being loaded."""
         loading = SlotState.LOADING
-        return [seat for seat in self.slots.values() if seat.state is loading]
+        return [slot for slot in self.slots.values() if slot.state is loading]
 
     def free_slots(self) -> int:
-        """Return how many more adapters fit."""
+        """Return the number of slots not in use."""
         return self.slot_count - len(self.slots)
 
     def available_slots(self, now_ms: int) -> int:
-        """Return how many more adapters may be ordered there now.
+        """Return the number of slots into which adapters may be loaded now.
 
-        An order to the life before may be carried out late by this one: it bears the same id, and
-        the numbers of its orders begin anew, so the order's condition may hold again. On a full
-        runner it would be one adapter too many, and the runner would crash; a place kept free until
-        no such order can come takes it.
+        An order to the runner's previous process may be delayed and carried out by the restarted
+        one: it has the same id, and its order sequence starts again at 0, so the order's condition
+        may hold again. On a full runner this would be one adapter too many, and the runner would
+        crash. One slot is therefore kept free until no such order can arrive.
         """
         return self.free_slots() - (now_ms < self.spare_slot_until_ms)
 
     def ready_slot(self, name: str) -> Slot | None:
-        """Return an adapter's seat when it can serve."""
-        seat = self.slots.get(name)
-        return seat if seat is not None and seat.state is SlotState.READY else None
+        """Return the slot of an adapter if the adapter is ready."""
+        slot = self.slots.get(name)
+        return slot if slot is not None and slot.state is SlotState.READY else None
 
     def reserve_slot(self, ref: AdapterRef, now_ms: int) -> Slot:
-        """Take a place for an adapter before its order is sent.
+        """Reserve a slot for an adapter before its load is ordered.
 
-        The place stays taken while the order's fate is unknown: a runner that is ordered to hold
-        more than it can crashes with all its requests.
+        The slot stays reserved while the result of the order is unknown: a runner that is ordered
+        to hold more adapters than it can crashes with all its requests.
         """
-        require(self.free_slots() > 0 or ref.name in self.slots, "a load has a place on its runner")
-        cold = ref not in self.cached_adapters
-        seat = Slot(ref, SlotState.LOADING, now_ms, is_cold=cold, last_used_ms=now_ms)
-        self.slots[ref.name] = seat
-        return seat
+        require(
+            self.free_slots() > 0 or ref.name in self.slots,
+            "a load has a slot on its runner",
+        )
+        is_cold = ref not in self.cached_adapters
+        slot = Slot(ref, SlotState.LOADING, now_ms, is_cold=is_cold, last_used_ms=now_ms)
+        self.slots[ref.name] = slot
+        return slot
 
     def mark_loaded(self, name: str, now_ms: int) -> None:
-        """Note that an adapter can serve."""
-        seat = self.slots.get(name)
-        if seat is None:
+        """Record that an adapter is ready."""
+        slot = self.slots.get(name)
+        if slot is None:
             return
-        seat.state = SlotState.READY
-        seat.last_used_ms = now_ms
-        self.add_cached_copy(seat.ref)
+        slot.state = SlotState.READY
+        slot.last_used_ms = now_ms
+        self.add_cached_copy(slot.ref)
 
     def mark_unloaded(self, name: str) -> None:
-        """Note that an adapter's place is free."""
-        seat = self.slots.pop(name, None)
-        if seat is not None:
-            self.add_cached_copy(seat.ref)
+        """Record that an adapter was unloaded and its slot is free."""
+        slot = self.slots.pop(name, None)
+        if slot is not None:
+            self.add_cached_copy(slot.ref)
 
     def add_cached_copy(self, ref: AdapterRef) -> None:
-        """Note that the runner keeps a copy of an adapter."""
+        """Record that the runner keeps a cached copy of an adapter."""
         self.cached_adapters[ref] = None
         self.cached_adapters.move_to_end(ref)
         self.cached_copies.add(ref, self.life)
         if len(self.cached_adapters) > MAX_CACHED_COPIES:
-            forgotten, _ = self.cached_adapters.popitem(last=False)
-            self.cached_copies.remove(forgotten, self.life)
+            dropped_ref, _ = self.cached_adapters.popitem(last=False)
+            self.cached_copies.remove(dropped_ref, self.life)
 
     def remove_cached_copies(self) -> None:
-        """Note that the runner is gone, with its copies."""
+        """Remove all cached copies, when the runner no longer exists."""
         for ref in self.cached_adapters:
             self.cached_copies.remove(ref, self.life)
         self.cached_adapters.clear()
 
     def apply_report(self, report: RunnerReport, now_ms: int) -> None:
-        """Take what the runner says it holds in place of what was believed."""
+        """Replace the assumed state of the runner by what it reports."""
         self.sequence = report.sequence
         self.sequence_updated_ms = now_ms
         self.unconfirmed_order = None
@@ -186,17 +202,17 @@
         if self.model is not None and not report.is_changing_model:
             self.loading_model = None
         held = {ref.name: ref for model in report.models for ref in model.adapters}
-        coming = {ref.name: ref for ref in report.loading_adapters}
-        for name in [name for name in self.slots if name not in held and name not in coming]:
+        loading = {ref.name: ref for ref in report.loading_adapters}
+        for name in [name for name in self.slots if name not in held and name not in loading]:
             del self.slots[name]
         for name, ref in held.items():
-            seat = self.slots.get(name)
-            if seat is None or seat.ref != ref or seat.state is not SlotState.READY:
-                used_ms = seat.last_used_ms if seat is not None else now_ms
-                self.slots[name] = Slot(ref, SlotState.READY, now_ms, last_used_ms=used_ms)
+            slot = self.slots.get(name)
+            if slot is None or slot.ref != ref or slot.state is not SlotState.READY:
+                last_used_ms = slot.last_used_ms if slot is not None else now_ms
+                self.slots[name] = Slot(ref, SlotState.READY, now_ms, last_used_ms=last_used_ms)
             self.add_cached_copy(ref)
-        for name, ref in coming.items():
+        for name, ref in loading.items():
             if name not in held:
-                seat = self.slots.get(name)
-                if seat is None or seat.state is not SlotState.LOADING:
+                slot = self.slots.get(name)
+                if slot is None or slot.state is not SlotState.LOADING:
                     self.slots[name] = Slot(ref, SlotState.LOADING, now_ms, confirm_at_ms=now_ms)
--- a/monsoonflow/placement/store_share.py
+++ b/monsoonflow/placement/store_share.py
@@ -1,4 +1,4 @@
-"""Shares the weight store's load rate among runners and nodes."""
+"""Limits the rate at which a node loads adapters from the weight store."""
 
 from __future__ import annotations
 
@@ -7,38 +7,39 @@
 
 
 class StoreShare:
-    """Lets loads start at a bounded rate and one at a time.
+    """Starts loads one at a time and at a limited rate.
 
-    The weight store runs at full speed for one load at a time; two at once make both slow. A node
-    that has the fleet's grant uses the whole rate, one without falls back to its share of it, so
-    losing or doubling the grant-giver costs speed, never safety.
+    The weight store runs at full speed for one load at a time; two concurrent loads slow each other
+    down. A node that holds the fleet's load grant uses the whole rate, and a node without it falls
+    back to its share of the rate. Without a node that gives grants, or with two of them, loads are
+    slower but still safe.
 
-    :param loads_per_second: the rate this share allows.
+    :param loads_per_second: the rate that this share allows.
     """
 
     def __init__(self, loads_per_second: float) -> None:
         self._interval_ms = 1000.0 / loads_per_second
-        self._next_ms = 0.0
-        self._order = LoadPrioritizer()
+        self._next_start_ms = 0.0
+        self._prioritizer = LoadPrioritizer()
 
     def set_rate(self, loads_per_second: float) -> None:
-        """Change the rate, as nodes come and go."""
+        """Change the rate, when nodes are added or removed."""
         self._interval_ms = 1000.0 / loads_per_second
 
     def pick(
         self, candidates: list[LoadCandidate], loads_in_progress: int, now_ms: int
     ) -> LoadCandidate | None:
-        """Return the load to start now, if one may start: the most urgent of all runners'.
+        """Return the most urgent load of all runners, or ``None`` if none may start now.
 
-        :param under_way: how many loads are going on. Counted anew from the slots each time: a
-            counter of its own once stayed raised when a runner changed hands between an unload and
+        :param loads_in_progress: number of loads in progress, counted from the slots at each call.
+            A separate counter stayed too high when a runner changed its owner between an unload and
             the load after it, and no load ever started again.
         """
-        if loads_in_progress or now_ms < self._next_ms or not candidates:
+        if loads_in_progress or now_ms < self._next_start_ms or not candidates:
             return None
-        return self._order.pick(candidates)
+        return self._prioritizer.pick(candidates)
 
     def record_start(self, load: LoadCandidate, now_ms: int) -> None:
-        """Note the start of a load."""
-        self._order.record_grant(load)
-        self._next_ms = max(self._next_ms + self._interval_ms, float(now_ms))
+        """Record that a load was started."""
+        self._prioritizer.record_grant(load)
+        self._next_start_ms = max(self._next_start_ms + self._interval_ms, float(now_ms))
--- a/monsoonflow/placement/usage_scores.py
+++ b/monsoonflow/placement/usage_scores.py
@@ -1,4 +1,4 @@
-"""How much adapters were used lately: which of them are worth their places."""
+"""Scores how much each adapter was used recently, to decide which ones keep their slots."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
 HALF_LIFE_MS: Final = 8_000
 MAX_SCORES: Final = 8_000
 MIN_SCORE: Final = 0.001
-"""Adapters below this are forgotten when many are known."""
+"""Scores up to this value are removed when there are more than ``MAX_SCORES``."""
 
 
 class UsageScores:
-    """The use of adapters, fading.
+    """Exponentially decaying usage per adapter, in requests in progress times seconds.
 
-    >>> heat = UsageScores()
-    >>> heat.add("a", 2.0, 0)
-    >>> round(heat.score_of("a", HALF_LIFE_MS), 3), heat.score_of("b", 0)
+    >>> scores = UsageScores()
+    >>> scores.add("a", 2.0, 0)
+    >>> round(scores.score_of("a", HALF_LIFE_MS), 3), scores.score_of("b", 0)
     (1.0, 0.0)
     """
 
     def __init__(self) -> None:
-        self._by_name: dict[str, tuple[float, int]] = {}
+        self._score_by_adapter: dict[str, tuple[float, int]] = {}
 
     def score_of(self, name: str, now_ms: int) -> float:
-        """Return how much an adapter was used lately."""
-        value, at_ms = self._by_name.get(name, (0.0, now_ms))
-        return value * math.exp2((at_ms - now_ms) / HALF_LIFE_MS)
+        """Return the current score of an adapter; 0 if it has none."""
+        score, updated_ms = self._score_by_adapter.get(name, (0.0, now_ms))
+        return score * math.exp2((updated_ms - now_ms) / HALF_LIFE_MS)
 
-    def add(self, name: str, by: float, now_ms: int) -> None:
-        """Count use: requests in progress times seconds."""
-        self._by_name[name] = (self.score_of(name, now_ms) + by, now_ms)
+    def add(self, name: str, usage: float, now_ms: int) -> None:
+        """Add usage to an adapter's score: requests in progress times seconds."""
+        self._score_by_adapter[name] = (self.score_of(name, now_ms) + usage, now_ms)
 
     def remove_unused(self, now_ms: int) -> None:
-        """Forget what was hardly used, when much is known."""
-        if len(self._by_name) <= MAX_SCORES:
+        """Remove the scores of adapters that are hardly used, if there are too many scores."""
+        if len(self._score_by_adapter) <= MAX_SCORES:
             return
         kept = {
-            n: known for n, known in self._by_name.items() if self.score_of(n, now_ms) > MIN_SCORE
+            name: entry
+            for name, entry in self._score_by_adapter.items()
+            if self.score_of(name, now_ms) > MIN_SCORE
         }
-        self._by_name = kept
+        self._score_by_adapter = kept
