--- a/monsoonflow/routing/__init__.py
+++ b/monsoonflow/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Limits, idempotency keys, retry budgets and the choice among plain servers."""
+"""Admission limits, retry budgets, idempotency keys, server health and load balancing."""
--- a/monsoonflow/routing/balancer.py
+++ b/monsoonflow/routing/balancer.py
@@ -1,4 +1,4 @@
-"""Chooses a server of a plain service by what this node itself has in flight there."""
+"""Balances requests over the servers of a plain service by this node's own calls in progress."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 class LeastCallsBalancer:
     """Picks the server with the fewest calls of this node in progress.
 
-    That number is known without delay. Load reports are as old as the last health check, and every
-    node has the same ones: following them, all nodes send to whichever server was least loaded
-    then, and from about 250 ms of age on that is worse than choosing at random. The figures, also
-    for the queue expected from reports and own actions, are in ``docs/design/services.md``.
+    This count has no delay. Load reports are as old as the last health check and the same on every
+    node, so all nodes would send to the server that was least loaded at that time. From an age of
+    about 250 ms on, that is worse than a random choice. ``docs/design/services.md`` has the
+    figures, also for an estimate of the queue from reports and this node's own calls.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -19,21 +19,21 @@
         self._in_flight_by_address: dict[str, int] = {}
 
     def pick(self, addresses: list[str]) -> str | None:
-        """Return a server among those that take new work, and count the call."""
+        """Return one of the given servers and count a call to it; ``None`` if none is given."""
         if not addresses:
             return None
-        least = min(self._in_flight(address) for address in addresses)
+        fewest = min(self._in_flight(address) for address in addresses)
         chosen = self._rng.choice(
-            [address for address in addresses if self._in_flight(address) == least]
+            [address for address in addresses if self._in_flight(address) == fewest]
         )
-        self._in_flight_by_address[chosen] = least + 1
+        self._in_flight_by_address[chosen] = fewest + 1
         return chosen
 
     def record_end(self, address: str) -> None:
         """Count the end of a call."""
-        left = self._in_flight(address) - 1
-        if left > 0:
-            self._in_flight_by_address[address] = left
+        remaining = self._in_flight(address) - 1
+        if remaining > 0:
+            self._in_flight_by_address[address] = remaining
         else:
             self._in_flight_by_address.pop(address, None)
 
--- a/monsoonflow/routing/caller_timeouts.py
+++ b/monsoonflow/routing/caller_timeouts.py
@@ -1,4 +1,4 @@
-"""Tells how long a caller has been trying, from what is left of its usual deadline."""
+"""Estimates how long a caller has been retrying, from the typical timeout of its route."""
 
 from __future__ import annotations
 
@@ -6,25 +6,27 @@
 from typing import Final
 
 TIMEOUTS_KEPT_PER_ROUTE: Final = 64
-"""Deadlines remembered of each route: some seconds of a busy one."""
+"""Number of most recent timeouts kept per route: a few seconds of a busy route."""
 
 MIN_TYPICAL_SHARE: Final = 0.1
-"""So many name the usual deadline, to the millisecond: even in a rush a tenth are first tries. A
-few callers with a much longer deadline must not make all others look as if they had come back."""
+"""A timeout is typical if at least this share of a route's requests give exactly it: even under
+overload a tenth of the requests are first attempts. A few callers with a much longer timeout must
+not make all other requests look like retries."""
 
 
 class TypicalCallerTimeouts:
-    """The deadlines that callers of each route name when they come first.
+    """The timeouts that callers of each route give with their first attempt.
 
-    A latency objective counts from a caller's first try. One that was refused and comes back names
-    what is left of its deadline; taken for new, it would get a place before callers that can still
-    be answered in time.
+    A latency objective counts from a caller's first attempt. A caller that retries after a refusal
+    gives the rest of its timeout. If its retry counted as a new request, it would get a slot before
+    callers that can still be answered in time.
 
-    Where callers of one route wait differently long, none is usual, and nothing is told: by 15 % of
-    15 s, 70 of 100 first tries looked as if they had come back, and got their places last.
+    If the callers of a route use many different timeouts, none is typical and the estimate is 0.
+    Otherwise, with timeouts spread over 15 % below 15 s, 70 of 100 first attempts looked like
+    retries and got their slots last.
 
-    >>> usual = TypicalCallerTimeouts()
-    >>> [usual.estimate_waited_ms("r", timeout_ms) for timeout_ms in (4_000, 4_000, 900)]
+    >>> timeouts = TypicalCallerTimeouts()
+    >>> [timeouts.estimate_waited_ms("r", timeout_ms) for timeout_ms in (4_000, 4_000, 900)]
     [0, 0, 3100]
     """
 
@@ -32,10 +34,10 @@
         self._timeouts_by_route: dict[str, deque[int]] = {}
 
     def estimate_waited_ms(self, route: str, timeout_ms: int) -> int:
-        """Take a request's deadline; return how long its caller seems to have tried before."""
+        """Record a request's timeout and return how long its caller has probably retried."""
         known = self._timeouts_by_route.setdefault(route, deque(maxlen=TIMEOUTS_KEPT_PER_ROUTE))
         known.append(timeout_ms)
-        least = max(1.0, len(known) * MIN_TYPICAL_SHARE)
-        named = Counter(known)
-        usual_ms = max((ms for ms, count in named.items() if count >= least), default=0)
-        return max(0, usual_ms - timeout_ms)
+        min_count = max(1.0, len(known) * MIN_TYPICAL_SHARE)
+        counts = Counter(known)
+        typical_ms = max((ms for ms, count in counts.items() if count >= min_count), default=0)
+        return max(0, typical_ms - timeout_ms)
--- a/monsoonflow/routing/health.py
+++ b/monsoonflow/routing/health.py
@@ -1,4 +1,4 @@
-"""Judges backend servers by how their requests end, never by what they say of their health."""
+"""Tracks the health of backend servers by the results of requests, not by their own reports."""
 
 from __future__ import annotations
 
@@ -15,17 +15,25 @@
 
 _LOGGER = logging.getLogger(__name__)
 FAILURE_SHARE_SMOOTHING: Final = 0.2
-"""Weight of one ended request in the failure share."""
+"""Weight of one request in the failure share, an exponentially weighted moving average."""
 
 FAILURE_HALF_LIFE_MS: Final = 3_000
-"""A server that gets no work is trusted again after a few of these."""
+"""The failure share halves in this time, so that a server that gets no requests is used again after
+a few half-lives."""
 
 LATENCY_SMOOTHING: Final = 0.15
+"""Weight of one request in the moving average of the latency."""
 
 
 @attrs.define(slots=True)
 class ServerHealth:
-    """What this node has seen of one server."""
+    """What this node has observed of one server.
+
+    :param failure_share: share of failed requests at ``updated_ms``, 0 to 1.
+    :param latency_ms: average time of a successful response; 0 while unknown.
+    :param unreachable_count: consecutive times that the server could not be reached.
+    :param paused_until_ms: until when the server gets no requests because it was unreachable.
+    """
 
     failure_share: float = 0.0
     latency_ms: float = 0.0
@@ -36,7 +44,7 @@
 
 
 class HealthTracker:
-    """The condition of the servers by id."""
+    """The health of all servers, by life."""
 
     def __init__(self) -> None:
         self.health_by_life: dict[ServerLife, ServerHealth] = {}
@@ -44,77 +52,82 @@
     def record_result(
         self, life: ServerLife, is_success: bool, latency_ms: float, now_ms: int
     ) -> None:
-        """Take the end of a request."""
-        condition = self._decayed_health(life, now_ms)
-        condition.failure_share += (
-            (0.0 if is_success else 1.0) - condition.failure_share
+        """Record the result of a request."""
+        health = self._decayed_health(life, now_ms)
+        health.failure_share += (
+            (0.0 if is_success else 1.0) - health.failure_share
         ) * FAILURE_SHARE_SMOOTHING
         if is_success:
-            known = condition.latency_ms or latency_ms
-            condition.latency_ms = known + (latency_ms - known) * LATENCY_SMOOTHING
-            condition.unreachable_count = 0
-            condition.paused_until_ms = 0
+            known_ms = health.latency_ms or latency_ms
+            health.latency_ms = known_ms + (latency_ms - known_ms) * LATENCY_SMOOTHING
+            health.unreachable_count = 0
+            health.paused_until_ms = 0
 
     def record_unreachable(self, life: ServerLife, now_ms: int) -> None:
-        """Take that a server gave no sign: no connection, a reset, or silence."""
-        condition = self._decayed_health(life, now_ms)
-        condition.failure_share += (1.0 - condition.failure_share) * FAILURE_SHARE_SMOOTHING
-        if now_ms < condition.paused_until_ms:
+        """Record that a server did not respond: no connection, a reset, or no response in time.
+
+        Failures during a pause do not extend it: requests that were in progress together report the
+        same fault.
+        """
+        health = self._decayed_health(life, now_ms)
+        health.failure_share += (1.0 - health.failure_share) * FAILURE_SHARE_SMOOTHING
+        if now_ms < health.paused_until_ms:
             return
-        condition.paused_until_ms = now_ms + backoff_ms(condition.unreachable_count)
-        condition.unreachable_count = min(condition.unreachable_count + 1, MAX_DOUBLINGS)
+        health.paused_until_ms = now_ms + backoff_ms(health.unreachable_count)
+        health.unreachable_count = min(health.unreachable_count + 1, MAX_DOUBLINGS)
 
     def record_sent(
         self, life: ServerLife, request: str, now_ms: int, response_timeout_ms: int
     ) -> None:
-        """Take that a request goes out.
+        """Record that a request was sent.
 
-        :param sign_within_ms: how soon its server should give a sign, to this or another request.
+        :param response_timeout_ms: time within which the server should respond to this or any other
+            request.
         """
         self._decayed_health(life, now_ms).response_watch.record_sent(
             request, now_ms, response_timeout_ms
         )
 
     def record_response(self, life: ServerLife, now_ms: int) -> None:
-        """Take a sign of life: a part of any answer."""
-        condition = self.health_by_life.get(life)
-        if condition is None:
+        """Record that a part of any response was received from a server."""
+        health = self.health_by_life.get(life)
+        if health is None:
             return
-        missed = condition.response_watch.record_response(now_ms)
+        missed = health.response_watch.record_response(now_ms)
         if missed:
             log(_LOGGER, events.ServerAnswers(server=life, missed=missed))
 
     def record_finished(self, life: ServerLife, request: str, now_ms: int) -> None:
-        """Take that a request that was sent, or was to be, is over."""
-        condition = self.health_by_life.get(life)
-        if condition is None:
+        """Record that a request is finished, whether or not it was sent."""
+        health = self.health_by_life.get(life)
+        if health is None:
             return
-        self._check_response(life, condition.response_watch, now_ms)
-        condition.response_watch.record_finished(request)
+        self._check_response(life, health.response_watch, now_ms)
+        health.response_watch.record_finished(request)
 
     def is_paused(self, life: ServerLife, now_ms: int) -> bool:
-        """Tell whether a server should be left alone for now."""
-        condition = self.health_by_life.get(life)
-        if condition is None:
+        """Return whether a server should get no requests for now."""
+        health = self.health_by_life.get(life)
+        if health is None:
             return False
-        self._check_response(life, condition.response_watch, now_ms)
-        return now_ms < condition.paused_until_ms or condition.response_watch.is_held_back(now_ms)
+        self._check_response(life, health.response_watch, now_ms)
+        return now_ms < health.paused_until_ms or health.response_watch.is_held_back(now_ms)
 
     def failure_share(self, life: ServerLife, now_ms: int) -> float:
-        """Return the share of requests that failed lately; it fades while nothing is sent."""
-        condition = self.health_by_life.get(life)
-        if condition is None:
+        """Return the share of recent requests that failed; it decays while nothing is sent."""
+        health = self.health_by_life.get(life)
+        if health is None:
             return 0.0
-        age = max(0, now_ms - condition.updated_ms)
-        return condition.failure_share * math.exp2(-age / FAILURE_HALF_LIFE_MS)
+        age_ms = max(0, now_ms - health.updated_ms)
+        return health.failure_share * math.exp2(-age_ms / FAILURE_HALF_LIFE_MS)
 
     def latency_ms(self, life: ServerLife, default_ms: float) -> float:
-        """Return the usual time of a good answer."""
-        condition = self.health_by_life.get(life)
-        return (condition.latency_ms if condition else 0.0) or default_ms
+        """Return the average time of a successful response, or the default while unknown."""
+        health = self.health_by_life.get(life)
+        return (health.latency_ms if health else 0.0) or default_ms
 
     def forget(self, life: ServerLife) -> None:
-        """Drop what is known of a server that is gone."""
+        """Drop the health of a removed server."""
         self.health_by_life.pop(life, None)
 
     def _check_response(self, life: ServerLife, response_watch: ResponseWatch, now_ms: int) -> None:
@@ -130,7 +143,7 @@
             )
 
     def _decayed_health(self, life: ServerLife, now_ms: int) -> ServerHealth:
-        condition = self.health_by_life.setdefault(life, ServerHealth(updated_ms=now_ms))
-        condition.failure_share = self.failure_share(life, now_ms)
-        condition.updated_ms = now_ms
-        return condition
+        health = self.health_by_life.setdefault(life, ServerHealth(updated_ms=now_ms))
+        health.failure_share = self.failure_share(life, now_ms)
+        health.updated_ms = now_ms
+        return health
--- a/monsoonflow/routing/idempotency_keys.py
+++ b/monsoonflow/routing/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Keeps idempotency keys, so that a request with a key runs at most once at its home node."""
+"""Stores idempotency keys, so that a request with a key runs at most once at its home node."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 @dataclass(frozen=True, slots=True)
 class NewKey:
-    """The key was not known; the request may be admitted."""
+    """The key is new; the request may be admitted."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownKey:
-    """The key names a request of this node; its answer is given again."""
+    """The key belongs to a request of this node, whose answer is returned again."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class KeyConflict:
-    """The key was used with another body."""
+    """The key was already used with a different body."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeysFull:
-    """No more keys can be kept; the request must not be admitted."""
+    """No more keys can be stored; the request must not be admitted."""
 
 
 KeyResult: TypeAlias = NewKey | KnownKey | KeyConflict | KeysFull
@@ -36,16 +36,20 @@
 
 @attrs.define(slots=True)
 class _Entry:
+    """The request of a key; ``ended_ms`` is ``None`` until it has ended."""
+
     request_id: str
     body_digest: bytes
     ended_ms: int | None = None
 
 
 class IdempotencyKeys:
-    """Remembers keys per customer until a fixed time after their request has ended.
+    """Stores the keys of each customer until a fixed time after their request has ended.
+
+    When the store is full, new keys are refused rather than old ones dropped: dropping a key would
+    let its request run a second time.
 
-    A full book refuses new keys rather than forgetting old ones: forgetting one would let its
-    request run a second time.
+    :param retention_ms: how long a key is kept after its request has ended.
     """
 
     def __init__(self, retention_ms: int, max_keys: int) -> None:
@@ -57,16 +61,16 @@
         return len(self._entry_by_key)
 
     def find_request(self, customer: str, key: str) -> str | None:
-        """Return the request that a key stands for, if any."""
+        """Return the id of the request that a key belongs to, if any."""
         entry = self._entry_by_key.get((customer, key))
         return entry.request_id if entry is not None else None
 
     def admit(
         self, customer: str, key: str, body_digest: bytes, request_id: str, now_ms: int
     ) -> KeyResult:
-        """Register a key, or tell what it already stands for.
+        """Register a key, or return the request that it already belongs to.
 
-        Keys of different customers never meet: one can neither see nor block another's.
+        Each customer has its own keys: it can neither see nor block those of another.
         """
         self._expire(now_ms)
         entry = self._entry_by_key.get((customer, key))
@@ -80,9 +84,10 @@
         return NewKey()
 
     def record_end(self, customer: str, key: str, now_ms: int, has_run: bool) -> None:
-        """Note the end of a key's request.
+        """Record the end of a key's request.
 
-        :param ran: ``False`` for ``not_run``, which frees the key: the caller may try again.
+        :param has_run: ``False`` for ``not_run``, which releases the key so that the caller may
+            retry.
         """
         entry = self._entry_by_key.get((customer, key))
         if entry is None:
--- a/monsoonflow/routing/in_flight.py
+++ b/monsoonflow/routing/in_flight.py
@@ -1,4 +1,4 @@
-"""Counts what this node has in progress at each backend server."""
+"""Counts the requests that this node has in progress at each backend server."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 @attrs.define(slots=True)
 class ServerWork:
-    """What is in progress at one server.
-
-    :param requests: requests in progress.
-    :param unread_tokens: prompt tokens of requests whose first event has not come.
-    :param memory_tokens: KV cache that the requests may need.
-    :param by_adapter: requests by adapter name (model runners).
-    :param unread_by_rank: the unread tokens by the rank that their requests have there, 0 first.
+    """The work in progress at one server.
+
+    :param requests: number of requests in progress.
+    :param pending_prefill_tokens: prompt tokens of the requests that have had no first event yet.
+    :param memory_tokens: KV cache that the requests may need, in tokens.
+    :param requests_by_adapter: number of requests by adapter name (model runners only).
+    :param pending_prefill_by_rank: pending prefill tokens by the priority rank of their requests at
+        the server; rank 0 is processed first.
     """
 
     requests: int = 0
@@ -28,20 +29,20 @@
     pending_prefill_by_rank: dict[int, int] = attrs.Factory(dict)
 
     def pending_prefill_ahead(self, rank: int) -> int:
-        """Return the prompt tokens that are read before those of a new request.
+        """Return the prompt tokens whose prefill comes before that of a new request.
 
-        A runner reads the most urgent first. Taken for ahead, the tokens of all others made an
-        urgent request seem lost behind 200,000 tokens, where it waits for half a second.
+        A runner processes the most urgent requests first. If the tokens of all requests counted, an
+        urgent request would seem to wait behind 200,000 tokens, although it waits half a second.
         """
         if not self.pending_prefill_by_rank:
             return self.pending_prefill_tokens
-        behind = sum(
+        tokens_behind = sum(
             tokens for other, tokens in self.pending_prefill_by_rank.items() if other > rank
         )
-        return max(0, self.pending_prefill_tokens - behind)
+        return max(0, self.pending_prefill_tokens - tokens_behind)
 
     def add(self, other: ServerWork) -> None:
-        """Add another node's share."""
+        """Add another node's work at the same server."""
         self.requests += other.requests
         self.pending_prefill_tokens += other.pending_prefill_tokens
         self.memory_tokens += other.memory_tokens
@@ -52,25 +53,25 @@
             ranks[rank] = ranks.get(rank, 0) + tokens
 
     def subtract(self, other: ServerWork) -> None:
-        """Take off a share that was added before."""
+        """Subtract work that was added before."""
         self.requests -= other.requests
         self.pending_prefill_tokens -= other.pending_prefill_tokens
         self.memory_tokens -= other.memory_tokens
         for name, requests in other.requests_by_adapter.items():
-            left = self.requests_by_adapter[name] - requests
-            if left:
-                self.requests_by_adapter[name] = left
+            remaining = self.requests_by_adapter[name] - requests
+            if remaining:
+                self.requests_by_adapter[name] = remaining
             else:
                 del self.requests_by_adapter[name]
         for rank, tokens in other.pending_prefill_by_rank.items():
-            left = self.pending_prefill_by_rank.get(rank, 0) - tokens
-            if left:
-                self.pending_prefill_by_rank[rank] = left
+            remaining = self.pending_prefill_by_rank.get(rank, 0) - tokens
+            if remaining:
+                self.pending_prefill_by_rank[rank] = remaining
             else:
                 self.pending_prefill_by_rank.pop(rank, None)
 
     def is_empty(self) -> bool:
-        """Tell whether no work is left."""
+        """Return whether no work is left."""
         counts = (self.requests, self.pending_prefill_tokens, self.memory_tokens)
         return not any(counts) and not self.requests_by_adapter and not self.pending_prefill_by_rank
 
@@ -78,28 +79,31 @@
 def sum_work(
     peers: Mapping[ServerLife, ServerWork], own: Mapping[ServerLife, ServerWork]
 ) -> dict[ServerLife, ServerWork]:
-    """Return the sum of two tables of work.
+    """Return the sum of the work of this node and its peers, by server.
 
-    What stands in one table only is not copied: it is to be read at once, and not changed.
+    Entries that only one of the tables has are not copied. Callers must use the result at once and
+    must not change it.
     """
     total = dict(peers)
     for life, work in own.items():
-        known = total.get(life)
-        if known is None:
+        peer_work = total.get(life)
+        if peer_work is None:
             total[life] = work
             continue
         both = total[life] = ServerWork()
-        both.add(known)
+        both.add(peer_work)
         both.add(work)
     return total
 
 
 @attrs.define(slots=True)
 class Ticket:
-    """One request's share of a server's work.
+    """One request's part of a server's work.
 
-    :param unread: no sign of work has come yet.
-    :param rank: that it has at the server; ``None`` where servers know none.
+    :param pending_prefill_tokens: prompt tokens that still count as pending.
+    :param memory_tokens: KV cache that the request may need, in tokens.
+    :param is_awaiting_first_event: whether the server has sent nothing of its answer yet.
+    :param rank: priority rank of the request at the server; ``None`` for servers without ranks.
     """
 
     life: ServerLife
@@ -113,9 +117,10 @@
 
 
 class InFlight:
-    """What a node has in progress, by server.
+    """The requests that this node has in progress, by server.
 
-    :param on_adapter_change: called when an adapter begins or ends to be in use at a runner.
+    :param on_adapter_change: called when the first request for an adapter starts at a runner and
+        when the last one ends.
     """
 
     def __init__(self, on_adapter_change: Callable[[], None] = lambda: None) -> None:
@@ -124,7 +129,7 @@
         self._changed: set[ServerLife] = set()
 
     def pop_changed(self) -> dict[ServerLife, ServerWork]:
-        """Return the work at the servers where it has changed since this was last asked."""
+        """Return the work at the servers where it has changed since the last call."""
         changed, self._changed = self._changed, set()
         return {life: self.work_at(life) for life in changed}
 
@@ -154,7 +159,7 @@
         return Ticket(life, adapter, pending_prefill_tokens, memory_tokens, now_ms, rank=rank)
 
     def record_first_event(self, ticket: Ticket) -> None:
-        """Note that a request's prompt has been read."""
+        """Record that the prefill of a request is finished; further calls do nothing."""
         ticket.is_awaiting_first_event = False
         if ticket.is_ended or not ticket.pending_prefill_tokens:
             return
@@ -168,7 +173,7 @@
         ticket.pending_prefill_tokens = 0
 
     def end(self, ticket: Ticket) -> None:
-        """Count a request out; a second time does nothing."""
+        """Count a request as ended; further calls do nothing."""
         if ticket.is_ended:
             return
         self.record_first_event(ticket)
@@ -186,5 +191,5 @@
             del self.work_by_server[ticket.life]
 
     def work_at(self, life: ServerLife) -> ServerWork:
-        """Return the work at a server."""
+        """Return this node's work at a server."""
         return self.work_by_server.get(life) or ServerWork()
--- a/monsoonflow/routing/prefill_rate.py
+++ b/monsoonflow/routing/prefill_rate.py
@@ -1,4 +1,4 @@
-"""Expects when a model runner will have read a prompt, from what is to be read there before it."""
+"""Estimates when a runner finishes the prefill of a prompt, from the queue ahead of it."""
 
 from __future__ import annotations
 
@@ -10,30 +10,32 @@
 from .first_event import BASE_LATENCY_MS
 
 INITIAL_TOKENS_PER_MS: Final = 20.0
-"""First guess: an engine of the usual size reads 10,000 tokens in half a second."""
+"""Initial estimate: a typical engine prefills 10,000 tokens in half a second."""
 
 INITIAL_WEIGHT_TOKENS: Final = 10_000
-"""What the first guess weighs, in tokens: after two or three long queues it no longer counts."""
+"""Weight of the initial estimate, in tokens: after two or three long queues it hardly counts."""
 
 SHARED_WEIGHT_TOKENS: Final = 40_000
-"""What all runners' pace weighs in one runner's, in tokens: a node that sends three generations a
-second to fifty runners sees each of them too seldom to know it from its own."""
+"""Weight of the rate of all runners in the rate of one runner, in tokens. A node that sends three
+generations a second to fifty runners has too few observations of each for a rate of its own."""
 
 OBSERVATION_HALF_LIFE_MS: Final = 12_000
-"""After so long an observation counts half: a runner that turned slow is soon known to be."""
+"""Time after which an observation counts half, so that a runner that became slow is soon
+detected."""
 
 MIN_DRAIN_MS: Final = 500
-"""Shortest time after which a caller that was sent away for a queue may come back: sooner, what is
-known of the queue is as it was."""
+"""Shortest retry delay for a caller refused because of a long queue: before that, this node has no
+newer information about the queue."""
 
 MIN_QUEUE_SHARE: Final = 0.5
-"""Only a request with at least this share of what was to be read ahead of itself tells of reading:
-at an idle runner most of the time to the first event is the way there and the engine's steps."""
+"""An observation counts only if at least this share of the pending tokens was ahead of the request
+itself: at an idle runner the time to the first event is mostly the network and the engine's
+steps."""
 
 
 @attrs.define(slots=True)
 class _Observations:
-    """Tokens that were read, and the time that it took; older ones weigh less."""
+    """Prefilled tokens and the time taken, as sums in which older observations count less."""
 
     tokens: float = 0.0
     took_ms: float = 0.0
@@ -45,24 +47,24 @@
         self.took_ms += took_ms
 
     def decay(self, now_ms: int) -> None:
-        kept = 0.5 ** (max(0, now_ms - self.decayed_at_ms) / OBSERVATION_HALF_LIFE_MS)
-        self.tokens *= kept
-        self.took_ms *= kept
+        factor = 0.5 ** (max(0, now_ms - self.decayed_at_ms) / OBSERVATION_HALF_LIFE_MS)
+        self.tokens *= factor
+        self.took_ms *= factor
         self.decayed_at_ms = now_ms
 
 
 class PrefillRate:
-    """Prompt tokens that runners read in a millisecond, as this node sees it.
+    """Prompt tokens that runners prefill per millisecond, as this node observes it.
 
-    The tokens are those that callers name. What a runner need not read since it keeps it, and what
-    it reads of requests that nobody told of, is part of the pace.
+    The tokens are those that callers declare. The rate therefore includes prompts that a runner
+    skips because they are in its cache, and prefill of requests that this node does not know of.
 
-    >>> pace = PrefillRate()
-    >>> pace.expected_ms("i-1", 200_000, 0)
+    >>> rate = PrefillRate()
+    >>> rate.expected_ms("i-1", 200_000, 0)
     10050
     >>> for _ in range(50):
-    ...     pace.record("i-1", 100_000, 2_000, 2_550, 0)
-    >>> pace.expected_ms("i-1", 200_000, 0)
+    ...     rate.record("i-1", 100_000, 2_000, 2_550, 0)
+    >>> rate.expected_ms("i-1", 200_000, 0)
     5050
     """
 
@@ -73,43 +75,47 @@
     def record(
         self, life: ServerLife, tokens: int, prompt_tokens: int, took_ms: int, now_ms: int
     ) -> None:
-        """Take how long a prompt took from its sending to the first event.
+        """Record the time from sending a prompt to its first event.
 
-        :param tokens: that were to be read until then, ``own_tokens`` of them its own.
+        :param tokens: tokens pending at the runner until then, including the prompt's own.
+        :param prompt_tokens: the prompt's own tokens.
+        :param took_ms: time from sending the prompt to its first event.
         """
         if tokens - prompt_tokens < tokens * MIN_QUEUE_SHARE or tokens <= 0:
             return
-        reading_ms = max(1, took_ms - BASE_LATENCY_MS)
-        self._all_runners.add(tokens, reading_ms, now_ms)
-        self._observations_by_life.setdefault(life, _Observations()).add(tokens, reading_ms, now_ms)
+        prefill_ms = max(1, took_ms - BASE_LATENCY_MS)
+        self._all_runners.add(tokens, prefill_ms, now_ms)
+        self._observations_by_life.setdefault(life, _Observations()).add(tokens, prefill_ms, now_ms)
 
     def record_overdue(
         self, life: ServerLife, tokens: int, prompt_tokens: int, waited_ms: int, now_ms: int
     ) -> None:
-        """Take that a prompt was not read within a time.
+        """Record that a prompt had no first event after ``waited_ms``.
 
-        That says something only where it should have been read by then. Left out, a runner that
-        reads nothing at all would be taken for as fast as it was.
+        This counts only if the first event was due by then. Without it, a runner that processes
+        nothing would keep the rate it had before.
         """
         if waited_ms > self.expected_ms(life, tokens, now_ms):
             self.record(life, tokens, prompt_tokens, waited_ms, now_ms)
 
     def tokens_per_ms(self, life: ServerLife | None, now_ms: int) -> float:
-        """Return the pace of a runner; without one, of all."""
+        """Return the prefill rate of a runner, or of all runners if ``life`` is ``None``."""
         self._all_runners.decay(now_ms)
-        shared = (self._all_runners.tokens + INITIAL_WEIGHT_TOKENS) / (
+        shared_rate = (self._all_runners.tokens + INITIAL_WEIGHT_TOKENS) / (
             self._all_runners.took_ms + INITIAL_WEIGHT_TOKENS / INITIAL_TOKENS_PER_MS
         )
         own = self._observations_by_life.get(life) if life is not None else None
         if own is None:
-            return shared
+            return shared_rate
         own.decay(now_ms)
-        return (own.tokens + SHARED_WEIGHT_TOKENS) / (own.took_ms + SHARED_WEIGHT_TOKENS / shared)
+        return (own.tokens + SHARED_WEIGHT_TOKENS) / (
+            own.took_ms + SHARED_WEIGHT_TOKENS / shared_rate
+        )
 
     def expected_ms(self, life: ServerLife | None, tokens: int, now_ms: int) -> int:
-        """Return in how long a runner will have read what is to be read there."""
+        """Return the expected time until a runner has prefilled the given pending tokens."""
         return round(BASE_LATENCY_MS + tokens / self.tokens_per_ms(life, now_ms))
 
     def forget(self, life: ServerLife) -> None:
-        """Drop a runner that is gone."""
+        """Drop the observations of a removed runner."""
         self._observations_by_life.pop(life, None)
--- a/monsoonflow/routing/recently_sent.py
+++ b/monsoonflow/routing/recently_sent.py
@@ -1,4 +1,4 @@
-"""Counts what was sent to runners so lately that no report tells of it yet."""
+"""Counts the prompt tokens sent to runners too recently to be in any report."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class RecentlySent:
-    """The prompt tokens of requests that were lately sent to runners.
+    """The prompt tokens of requests that were recently sent to runners.
 
-    The load that it is made for: a hot adapter's runner gets ten requests between two reports. Each
-    judged by the last report alone, all of them find the same room there.
+    A runner with a popular adapter can get ten requests between two reports. Without this count,
+    each of them would be placed by the last report alone and find the same free capacity.
 
-    :param unreported_ms: after how long reports tell of a request.
+    :param report_delay_ms: time after which reports include a request.
 
     >>> sent = RecentlySent(250)
     >>> sent.add("i-1", 2_000, 0)
@@ -28,12 +28,12 @@
     def add(self, life: ServerLife, tokens: int, now_ms: int) -> None:
         """Count a request that is about to be sent."""
         sent = self._sent_by_life.setdefault(life, deque())
-        # Also where nobody asks: it would grow with each request that is sent.
+        # Also needed here: for a runner that is never queried, the queue would grow without bound.
         self._drop_reported(sent, now_ms)
         sent.append((now_ms, tokens))
 
     def tokens(self, life: ServerLife, now_ms: int) -> int:
-        """Return what is on its way to a runner unreported."""
+        """Return the tokens sent to a runner that no report includes yet."""
         sent = self._sent_by_life.get(life)
         if not sent:
             return 0
@@ -45,5 +45,5 @@
             sent.popleft()
 
     def forget(self, life: ServerLife) -> None:
-        """Drop a runner that is gone."""
+        """Drop the counts of a removed runner."""
         self._sent_by_life.pop(life, None)
--- a/monsoonflow/routing/routes.py
+++ b/monsoonflow/routing/routes.py
@@ -1,4 +1,4 @@
-"""Says which service a request goes to and what may be done with it on the way."""
+"""Routes: which service a request goes to, and which retries and waits are allowed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What a route's requests are, as the operator declares them."""
+    """Kind of a route's requests, as the operator declares it."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -20,7 +20,7 @@
 
 @attrs.frozen(slots=True)
 class Target:
-    """A service that takes a share of a route's requests."""
+    """A service that gets a share of a route's requests, in proportion to its weight."""
 
     service: str
     weight: float
@@ -28,16 +28,16 @@
 
 @attrs.frozen(slots=True)
 class Route:
-    """Where requests of one host and path prefix go.
+    """Destination and limits of the requests with one host and path prefix.
 
-    :param timeout_ms: the longest time that a caller is kept waiting.
+    :param timeout_ms: the longest time that a caller has to wait.
     :param objective_ms: the latency objective.
-    :param pause_ms: the longest pause between a stream's events that is still on time.
-    :param first_event_by_ms: how long callers of a stream wait for its first event; ``None`` where
-        that is not known.
-    :param attempts: how many servers one request may be sent to.
+    :param max_event_gap_ms: the longest gap between a stream's events that is still on time.
+    :param max_attempts: maximum number of servers that one request may be sent to.
     :param priority: 0 is the most urgent.
-    :param resumable: whether a broken stream may go on at another server.
+    :param is_resumable: whether a broken stream may be continued at another server.
+    :param first_event_timeout_ms: how long callers of a stream wait for its first event; ``None``
+        if unknown.
     """
 
     name: str
@@ -55,16 +55,16 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a request may run more than once.
+        """Return whether a request may run more than once.
 
-        That follows from what the operator declares, never from a method or a name.
+        Only the operator's declaration decides this, never the HTTP method or a name.
         """
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.is_resumable
         )
 
     def choose_service(self, rng: random.Random) -> str:
-        """Return a service, by the weights of a split route."""
+        """Return a service, chosen at random by weight if the route has several."""
         if len(self.targets) == 1:
             return self.targets[0].service
         weights = [target.weight for target in self.targets]
@@ -73,11 +73,13 @@
 
 @attrs.frozen(slots=True)
 class BaseModel:
-    """A base model that a service's runners may hold.
+    """A base model that a service's runners may load.
 
-    :param memory_mb: of its weights.
-    :param load_ms: from the weight store; ``disk_load_ms`` from the runner's own disk.
-    :param adapter_mb: weights of one adapter.
+    :param memory_mb: memory for its weights.
+    :param load_ms: time to load it from the weight store.
+    :param disk_load_ms: time to load it from the runner's own disk.
+    :param adapter_mb: memory for the weights of one adapter.
+    :param adapters: number of adapters of this model.
     """
 
     name: str
@@ -90,13 +92,13 @@
 
 @attrs.frozen(slots=True)
 class EngineTraits:
-    """What the runners of a service can hold and do.
+    """Capacity of the runners of a service.
 
-    :param batch: requests that one runner works on at once.
-    :param memory_tokens: KV cache of one runner.
-    :param weights_mb: memory for weights and adapters together.
-    :param adapter_slots: adapters that one runner holds.
-    :param loads_per_s: loads of base models that the weight store allows over all runners.
+    :param max_batch_size: maximum number of requests that one runner processes concurrently.
+    :param memory_tokens: KV cache of one runner, in tokens.
+    :param weights_mb: memory of one runner for base model weights and adapters together.
+    :param adapter_slots: maximum number of adapters loaded in one runner.
+    :param loads_per_s: maximum rate of base model loads from the weight store, over all runners.
     """
 
     max_batch_size: int
@@ -107,16 +109,16 @@
     models: tuple[BaseModel, ...] = ()
 
     def find_model(self, name: str) -> BaseModel | None:
-        """Return a base model by its name."""
+        """Return the base model with this name, if any."""
         return next((model for model in self.models if model.name == name), None)
 
 
 @attrs.frozen(slots=True)
 class Service:
-    """A group of equal backend servers.
+    """A group of equivalent backend servers.
 
-    :param max_connections: connections that one server takes from all callers together.
-    :param engine: set where the servers are model runners.
+    :param max_connections: connections that one server accepts from all its clients together.
+    :param engine: set if the servers are model runners.
     """
 
     name: str
@@ -126,7 +128,7 @@
 
 @attrs.frozen(slots=True)
 class RouteTable:
-    """One version of the routes and services in force.
+    """One version of the configured routes and services.
 
     >>> route = Route("r", "h", "/a/", RouteKind.IDEMPOTENT, (Target("s", 1),))
     >>> deeper = Route("d", "h", "/a/b/", RouteKind.IDEMPOTENT, (Target("s", 1),))
@@ -144,20 +146,20 @@
     def build(
         cls, version: int, routes: list[Route], services: list[Service], limits: MessageLimits
     ) -> RouteTable:
-        """Return a table whose lookups are ready."""
-        grouped: dict[str, list[Route]] = {}
+        """Return a table with the routes of each host sorted for lookup, longest prefix first."""
+        routes_by_host: dict[str, list[Route]] = {}
         for route in routes:
-            grouped.setdefault(route.host.lower(), []).append(route)
-        by_host = {
-            host: tuple(sorted(found, key=lambda route: -len(route.prefix)))
-            for host, found in grouped.items()
+            routes_by_host.setdefault(route.host.lower(), []).append(route)
+        sorted_by_host = {
+            host: tuple(sorted(of_host, key=lambda route: -len(route.prefix)))
+            for host, of_host in routes_by_host.items()
         }
-        return cls(version, by_host, {service.name: service for service in services}, limits)
+        return cls(version, sorted_by_host, {service.name: service for service in services}, limits)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path.
+        """Return the route with the longest prefix that matches the path, if any.
 
-        :param host: of the request, with or without a port.
+        :param host: host of the request, with or without a port.
         :param path: the raw path, not decoded.
         """
         name = host.partition(":")[0].lower()
@@ -168,4 +170,4 @@
 
     def routes(self) -> list[Route]:
         """Return all routes."""
-        return [route for found in self.routes_by_host.values() for route in found]
+        return [route for of_host in self.routes_by_host.values() for route in of_host]
