--- a/monsoonflow/discovery/__init__.py
+++ b/monsoonflow/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Knows the backend servers: who serves what, where, and who is leaving."""
+"""Discovered backend servers: their services, addresses, and which of them are leaving."""
--- a/monsoonflow/discovery/models.py
+++ b/monsoonflow/discovery/models.py
@@ -1,4 +1,4 @@
-"""Data of discovered backend servers."""
+"""Data models of discovered backend servers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(slots=True)
 class HeldModel:
-    """A base model that a runner holds, with the adapters loaded beside it."""
+    """A base model that is loaded in a runner, with the adapters loaded for it."""
 
     name: str
     version: int = 1
@@ -19,11 +19,13 @@
 
 @attrs.frozen(slots=True)
 class BackendServer:
-    """One life of a backend server, as it registers itself.
+    """One life of a backend server, that is one run of its process, as it registers itself.
 
-    :param life: its id and its birth; after a restart it is another life at the same address.
-    :param slots: requests that it works on at once.
-    :param leaves_in_ms: how long it goes on, where it says so.
+    :param life: the server's id and the birth time of its process. After a restart the server has a
+        new life at the same address.
+    :param max_concurrent_requests: number of requests that it processes concurrently.
+    :param is_leaving: whether it has announced that it is shutting down.
+    :param leaving_in_ms: time until it shuts down, if announced.
     """
 
     life: ServerLife
--- a/monsoonflow/discovery/registry.py
+++ b/monsoonflow/discovery/registry.py
@@ -1,4 +1,4 @@
-"""Keeps the list of backend servers; a server that leaves gets no new work."""
+"""Keeps the list of backend servers; a server that is leaving gets no new requests."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 _LOGGER = logging.getLogger(__name__)
 DEPARTED_RETENTION_MS: Final = 60_000
-"""How long the name of a life that left is kept, so that an old list can't bring it back."""
+"""How long a departed life is remembered, so that an outdated list does not add it again."""
 
 EARLIER_LIFE_ACCEPT_MS: Final = 1_000
-"""A life with an earlier birth that speaks again after so long, while the known one is silent, is
-no late word: a clock was set back between two starts. Servers speak about every second."""
+"""If a life with an earlier birth time is still reported after this time and the known life is not,
+it is the current one, and not a delayed entry: the machine's clock was set back between two starts.
+Servers report about every second."""
 
 
 @attrs.define(slots=True)
 class _EarlierLife:
-    """A life that was born before the known one, and when it first spoke."""
+    """A life with an earlier birth time than the known one, and when it was first reported."""
 
     life: ServerLife
     first_seen_ms: int
@@ -30,16 +31,17 @@
 
 @attrs.frozen(slots=True)
 class _AddressOwner:
-    """Who last registered an address."""
+    """The life that last registered an address, and the version of its entry."""
 
     life: ServerLife
     row_version: int
 
 
 class ServerRegistry:
-    """The backend servers by life, and which of them take new work.
+    """The backend servers by life, and which of them accept new requests.
 
-    Of each id one life is known, the newest; an address belongs to who last registered it.
+    Only the newest life of each server id is known. An address belongs to the life that registered
+    it last.
     """
 
     def __init__(self) -> None:
@@ -50,7 +52,7 @@
         self._unreadable_cause_by_id: dict[str, str] = {}
         self._restarted_ms_by_life: dict[ServerLife, int] = {}
         self._removed_lives: list[ServerLife] = []
-        self._lives_with_birth_time = 0
+        self._birth_time_count = 0
         self._missing_until_ms_by_life: dict[ServerLife, int] = {}
         self._left_ms_by_life: dict[ServerLife, int] = {}
         self._added_ms_by_life: dict[ServerLife, int] = {}
@@ -58,13 +60,14 @@
         self.version = 0
 
     def life_of(self, server_id: str) -> ServerLife | None:
-        """Return the life of a server that is known."""
+        """Return the known life of a server, if any."""
         return self._life_by_id.get(server_id)
 
     def put(self, server: BackendServer, now_ms: int, row_version: int = 0) -> None:
-        """Take a server's entry as the store holds it now.
+        """Add or update a server from its current entry in the store.
 
-        :param row_version: rises with each change of any entry; 0 for another node's word.
+        :param row_version: increases with each change of any entry; 0 if the entry comes from a
+            peer.
         """
         known_life = self._life_by_id.get(server.life.server_id)
         if known_life is not None and known_life != server.life:
@@ -80,7 +83,7 @@
             return
         self._store(server, now_ms)
         if server.is_leaving:
-            self.mark_leaving(server.life, now_ms, "said so")
+            self.mark_leaving(server.life, now_ms, "announced by the server")
         elif known is None:
             log(
                 _LOGGER,
@@ -90,9 +93,10 @@
             )
 
     def mark_unreadable(self, server_id: str, cause: str) -> None:
-        """Take that a server's entry can't be read: the server is not used until it can.
+        """Record that a server's entry can't be read; the server gets no new requests until it can.
 
-        It is not forgotten: what runs there goes on, and the next good entry brings it back.
+        The server stays known: its requests in progress continue, and the next readable entry makes
+        it usable again.
         """
         if self._unreadable_cause_by_id.get(server_id) == cause:
             return
@@ -101,7 +105,7 @@
         log(_LOGGER, events.UnusableRow(row=f"server {server_id}", cause=cause))
 
     def remove(self, server_id: str, now_ms: int) -> None:
-        """Take the word that a server's entry is gone."""
+        """Remove a server whose entry is gone, or keep it until a grace period ends."""
         self._unreadable_cause_by_id.pop(server_id, None)
         life = self._life_by_id.get(server_id)
         if life is None:
@@ -112,7 +116,7 @@
         self._remove(life, now_ms, "entry removed")
 
     def replace_all(self, servers: list[BackendServer], now_ms: int) -> None:
-        """Take a whole list; what is missing in it is gone."""
+        """Replace all servers by a complete list; servers that are not in it are removed."""
         present = {server.life.server_id for server in servers}
         for server in servers:
             self.put(server, now_ms)
@@ -120,23 +124,24 @@
             self.remove(server_id, now_ms)
 
     def keep_missing_until(self, until_ms: int) -> None:
-        """Note the end of an outage: entries of living servers may be missing for a moment.
+        """Keep servers whose entries are missing until the given time, after a store outage.
 
-        Without the wait the end of an outage would leave no server at all.
+        Right after an outage, entries of running servers may be missing for a moment. Without this
+        grace period no server at all would be left then.
         """
         self._grace_until_ms = until_ms
 
     def has_missing(self) -> bool:
-        """Tell whether entries are missing of servers that may be back."""
+        """Return whether servers are kept although their entries are missing."""
         return bool(self._missing_until_ms_by_life)
 
     def confirm_life(self, life: ServerLife, models: tuple[HeldModel, ...], now_ms: int) -> bool:
-        """Take the life that a server names in its own answer; return whether it is the known one.
+        """Apply the life that a server gives in its own response; return whether it was known.
 
-        Its entry may still name the life before: the server is known by its new life from here on,
-        so that nothing is believed of it that it lost.
+        The server's entry may still have its previous life. From now on the server is known by its
+        new life, so that nothing that was lost in the restart is still attributed to it.
 
-        :param models: what it says it holds.
+        :param models: models that the server reports as loaded.
         """
         known_life = self._life_by_id.get(life.server_id)
         if known_life is None or known_life == life:
@@ -149,39 +154,41 @@
         return False
 
     def mark_leaving(self, life: ServerLife, now_ms: int, cause: str) -> None:
-        """Take the word, from whomever, that a life takes no new work."""
+        """Record that a life accepts no new requests; the cause is only logged."""
         if life not in self._left_ms_by_life:
             self._left_ms_by_life[life] = now_ms
             self.version += 1
             log(_LOGGER, events.ServerLeaves(server=life, cause=cause))
 
     def remove_missing(self, now_ms: int) -> bool:
-        """Drop what stayed missing; return whether anything was dropped."""
-        gone = [life for life, until in self._missing_until_ms_by_life.items() if now_ms >= until]
-        for life in gone:
+        """Remove servers whose entries stayed missing; return whether any was removed."""
+        expired = [
+            life for life, until_ms in self._missing_until_ms_by_life.items() if now_ms >= until_ms
+        ]
+        for life in expired:
             self._remove(life, now_ms, "entry still missing")
-        return bool(gone)
+        return bool(expired)
 
     def pop_removed(self, now_ms: int) -> list[ServerLife]:
-        """Drop what stayed missing; return the lives that are gone."""
+        """Remove servers that stayed missing; return all lives removed since the last call."""
         self.remove_missing(now_ms)
         for life, at_ms in list(self._left_ms_by_life.items()):
             if now_ms - at_ms > DEPARTED_RETENTION_MS and life not in self.server_by_life:
                 del self._left_ms_by_life[life]
-        gone, self._removed_lives = self._removed_lives, []
-        return gone
+        removed, self._removed_lives = self._removed_lives, []
+        return removed
 
     def restarted_ms(self, life: ServerLife) -> int | None:
-        """Return when a life was first heard of that followed another of its server."""
+        """Return when this life replaced an earlier life of its server; ``None`` if it did not."""
         return self._restarted_ms_by_life.get(life)
 
     def is_accepting_work(self, life: ServerLife) -> bool:
-        """Tell whether a server may get new requests."""
+        """Return whether a server may get new requests."""
         server = self.server_by_life.get(life)
         return server is not None and self._is_usable(server)
 
     def servers_of(self, service: str) -> list[BackendServer]:
-        """Return the servers of a service that take new work."""
+        """Return the servers of a service that accept new requests."""
         return [
             server
             for server in self.server_by_life.values()
@@ -189,19 +196,19 @@
         ]
 
     def recently_left(self, now_ms: int, within_ms: int) -> list[ServerLife]:
-        """Return who left lately, for other nodes."""
+        """Return the lives that left within the given time, to be sent to peers."""
         return [
             life for life, at_ms in self._left_ms_by_life.items() if now_ms - at_ms <= within_ms
         ]
 
     def recently_added(self, now_ms: int, within_ms: int) -> list[ServerLife]:
-        """Return who came lately, for other nodes."""
+        """Return the lives that were added within the given time, to be sent to peers."""
         return [
             life for life, at_ms in self._added_ms_by_life.items() if now_ms - at_ms <= within_ms
         ]
 
     def is_known(self, life: ServerLife) -> bool:
-        """Tell whether a life is known, or has been."""
+        """Return whether a life is known or has departed recently."""
         return life in self.server_by_life or life in self._left_ms_by_life
 
     def _is_usable(self, server: BackendServer) -> bool:
@@ -213,15 +220,18 @@
         return owner is None or owner.life == server.life
 
     def _is_missing_birth_time(self, life: ServerLife) -> bool:
-        """Tell whether an entry lacks the birth that most others tell: it is another writer's."""
-        return life.born_ms is None and 2 * self._lives_with_birth_time > len(self.server_by_life)
+        """Return whether an entry has no birth time although most entries have one.
+
+        Such an entry was written by something other than a server.
+        """
+        return life.born_ms is None and 2 * self._birth_time_count > len(self.server_by_life)
 
     def _is_newer_life(self, life: ServerLife, known: ServerLife, now_ms: int) -> bool:
-        """Tell whether a life comes after the one that is known of its server.
+        """Return whether a life replaces the known one of its server.
 
-        A late word of the life before would bring back a server that is gone, with all that it
-        held; it comes once. A life that goes on speaking while the known one is silent is the
-        newer one, whatever its clock says.
+        A delayed report of the previous life arrives once. If it were accepted, a server that is
+        gone would be back with everything that it had loaded. A life that is reported again while
+        the known one is not is the newer one, whatever its birth time.
         """
         if known.born_ms is None or (life.born_ms is not None and life.born_ms > known.born_ms):
             return True
@@ -232,15 +242,15 @@
             return False
         return now_ms - earlier.first_seen_ms >= EARLIER_LIFE_ACCEPT_MS
 
-    def _replace_life(self, before: ServerLife, life: ServerLife, now_ms: int) -> None:
-        self.mark_leaving(before, now_ms, f"started again as {life}")
-        self._forget(before)
+    def _replace_life(self, previous: ServerLife, life: ServerLife, now_ms: int) -> None:
+        self.mark_leaving(previous, now_ms, f"restarted as {life}")
+        self._forget(previous)
         self._left_ms_by_life.pop(life, None)
         self._restarted_ms_by_life[life] = now_ms
         self._earlier_life_by_id.pop(life.server_id, None)
 
     def _record_registration(self, server: BackendServer, row_version: int) -> None:
-        """Note that a server registered itself now: its address is its own, and it can be read."""
+        """Record that a server has a readable entry, and that its address may belong to it now."""
         server_id = server.life.server_id
         self._earlier_life_by_id.pop(server_id, None)
         self._missing_until_ms_by_life.pop(server.life, None)
@@ -267,7 +277,7 @@
     def _store(self, server: BackendServer, now_ms: int) -> None:
         if server.life not in self.server_by_life:
             self._added_ms_by_life[server.life] = now_ms
-            self._lives_with_birth_time += server.life.born_ms is not None
+            self._birth_time_count += server.life.born_ms is not None
         self.server_by_life[server.life] = server
         self._life_by_id[server.life.server_id] = server.life
         self.version += 1
@@ -283,7 +293,7 @@
         server = self.server_by_life.pop(life, None)
         if server is None:
             return
-        self._lives_with_birth_time -= life.born_ms is not None
+        self._birth_time_count -= life.born_ms is not None
         self._removed_lives.append(life)
         del self._life_by_id[life.server_id]
         owner = self._owner_by_address.get(server.address)
