--- a/monsoonflow/address/__init__.py
+++ b/monsoonflow/address/__init__.py
@@ -1,1 +1,1 @@
-"""Tells callers which node to connect to."""
+"""Selects the nodes that callers should connect to."""
--- a/monsoonflow/address/advertised_nodes.py
+++ b/monsoonflow/address/advertised_nodes.py
@@ -1,9 +1,10 @@
-"""Chooses the few nodes of a large fleet that take the callers of a data centre.
+"""Selects the few nodes of a large fleet whose addresses are given to callers of a data centre.
 
-The load that it is made for: some hundred nodes, each of which would get two or three requests a
-second. Each then opens connections to each server and hardly uses one twice, is told of all others'
-work too seldom to place anything by it, and callers' bytes cross data centres. A few nodes near
-the caller see enough of the load to know it, and grow in number before they are busy.
+If some hundred nodes shared all callers, each would get only two or three requests a second. Each
+node would open connections to each server and hardly use one twice, receive heartbeats of its peers
+too rarely to base placement on them, and the traffic of callers would cross data centres. A few
+nodes near the caller handle enough requests to know the load, and more are advertised before these
+are busy.
 """
 
 from __future__ import annotations
@@ -18,33 +19,34 @@
 from ..ownership.cell_lease import machine_class
 
 MAX_NODES_TO_ADVERTISE_ALL: Final = 16
-"""A fleet of so many nodes names them all: each hears all others in two rounds at most."""
+"""Up to this size of a fleet, all nodes are advertised: each receives heartbeats of all peers
+within two rounds."""
 
 MIN_ADVERTISED: Final = 6
-"""Nodes named for a data centre at least: half of a fleet lost at once leaves none of six in one of
-64 cases, and callers ask anew within seconds."""
+"""Minimum number of nodes advertised for a data centre. If half of a fleet fails at once, all six
+fail in one of 64 cases, and callers request the addresses again within seconds."""
 
 MIN_ADVERTISED_SHARE: Final = 0.1
-"""Share of a data centre's nodes that is named at least."""
+"""Minimum share of a data centre's nodes that is advertised."""
 
 DOUBLING_LAG_MS: Final = 20.0
-"""With this delay of their loops twice as many nodes are named: an event of a stream passes two
-loops, and that much of a pause is not yet seen by a caller."""
+"""Event loop delay at which twice as many nodes are advertised. An event of a stream passes two
+event loops, and a caller does not yet notice a gap of twice this delay."""
 
 MAX_LAG_FACTOR: Final = 4.0
-"""By how much the number named grows with delays: beyond it delays come from elsewhere."""
+"""Maximum factor by which delays increase the number of nodes: higher delays have another cause."""
 
 SLOW_LAG_MS: Final = 80.0
-"""A node whose loop is so much delayed is named after all others."""
+"""A node with at least this event loop delay is advertised only after all others."""
 
 
 @attrs.frozen(slots=True)
 class CandidateNode:
-    """A node that could take callers.
+    """A node that could accept callers.
 
-    :param cores: how much processor time it has, in seconds of one usual core a second.
-    :param lag_ms: how late its loop runs what is due.
-    :param holds: whether it holds a duty, which needs its processor.
+    :param cores: processor time available to it, in seconds of one typical core per second.
+    :param lag_ms: delay of its event loop.
+    :param is_lease_holder: whether it holds a cell lease, whose work needs its processor.
     """
 
     name: str
@@ -58,15 +60,16 @@
 def advertised_nodes(
     candidates: Collection[CandidateNode], data_centre: str
 ) -> list[CandidateNode]:
-    """Return the nodes that the callers of a data centre should use, best first.
+    """Return the nodes that callers of a data centre should use, best first.
 
-    Nodes that hear nearly the same choose nearly the same, and a node lost or gained moves only its
-    own place. Where a data centre has too few nodes left, those of others fill up.
+    Nodes with nearly the same information select nearly the same nodes, and a node that departs or
+    is added changes only its own position. If a data centre has too few nodes, nodes of others are
+    added.
 
-    >>> few = [CandidateNode(f"n{i}", "a" if i % 2 else "b", f"1.1.1.{i}:1") for i in range(60)]
-    >>> [(len(found), {c.data_centre for c in found}) for found in [advertised_nodes(few, "a")]]
+    >>> nodes = [CandidateNode(f"n{i}", "a" if i % 2 else "b", f"1.1.1.{i}:1") for i in range(60)]
+    >>> [(len(found), {c.data_centre for c in found}) for found in [advertised_nodes(nodes, "a")]]
     [(6, {'a'})]
-    >>> len(advertised_nodes(few[:7], "a"))
+    >>> len(advertised_nodes(nodes[:7], "a"))
     7
     """
     if len(candidates) <= MAX_NODES_TO_ADVERTISE_ALL:
@@ -96,8 +99,8 @@
 
 
 def _advertised_count(near: list[CandidateNode]) -> int:
-    """Return how many nodes to name, by how busy the first of them are."""
-    least = max(MIN_ADVERTISED, math.ceil(len(near) * MIN_ADVERTISED_SHARE))
-    first = near[:least]
+    """Return how many nodes to advertise, given how busy the first of them are."""
+    min_count = max(MIN_ADVERTISED, math.ceil(len(near) * MIN_ADVERTISED_SHARE))
+    first = near[:min_count]
     lag_ms = sum(c.lag_ms for c in first) / len(first) if first else 0.0
-    return math.ceil(least * min(MAX_LAG_FACTOR, 1.0 + lag_ms / DOUBLING_LAG_MS))
+    return math.ceil(min_count * min(MAX_LAG_FACTOR, 1.0 + lag_ms / DOUBLING_LAG_MS))
--- a/monsoonflow/address/node_order.py
+++ b/monsoonflow/address/node_order.py
@@ -1,4 +1,4 @@
-"""Chooses the node that a caller should use."""
+"""Orders the nodes that a caller should try."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 @attrs.frozen(slots=True)
 class NodeAddress:
-    """A node as callers see it."""
+    """The address of a node for callers.
+
+    :param http: address for HTTP requests.
+    :param incarnation: the run of the node's process that has this address.
+    """
 
     node: str
     http: str
@@ -21,8 +25,8 @@
 ) -> list[NodeAddress]:
     """Return the nodes to try, best first.
 
-    :param preferred_incarnation: the owner of the runner that would serve the request.
-    :param key: spreads callers over the other nodes.
+    :param preferred_incarnation: the owner of the runner that would serve the request; it is first.
+    :param key: distributes callers over the other nodes.
     """
     by_incarnation = {address.incarnation: address for address in serving}
     order = rank(key, by_incarnation)
