--- a/tests/routing/__init__.py
+++ b/tests/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the routing component."""
+"""Tests of the routing package."""
--- a/tests/routing/test_budget.py
+++ b/tests/routing/test_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the retry budget that all nodes share."""
+"""Tests of the retry budget that all nodes of the fleet share."""
 
 from __future__ import annotations
 
@@ -10,70 +10,70 @@
 ALLOWANCE = RetryAllowance(0.2, 54, 10_000)
 
 
-def heard(told, sharers=None):
-    """Return what is known where all of some others are heard."""
-    counted = len(told) + 1
-    return PeerRetryUsage(tuple(told), sharers or counted, counted)
+def peer_usage(reported, sharing_nodes=None):
+    """Return the usage of peers that all exchange heartbeats with this node."""
+    connected_nodes = len(reported) + 1
+    return PeerRetryUsage(tuple(reported), sharing_nodes or connected_nodes, connected_nodes)
 
 
-def spend(budget, now_ms=0):
+def send_retry(budget, now_ms=0):
     budget.grant_retry("s", now_ms)
     budget.record_sent_retry("s", now_ms)
 
 
-def retries_allowed(budget, others, now_ms=0):
+def send_all_allowed(budget, peers, now_ms=0):
     count = 0
-    while budget.headroom("s", others, now_ms).is_allowed and count < 1_000:
-        spend(budget, now_ms)
+    while budget.headroom("s", peers, now_ms).is_allowed and count < 1_000:
+        send_retry(budget, now_ms)
         count += 1
     return count
 
 
 @pytest.mark.parametrize("nodes", [1, 2, 7, 30])
-def test_nodes_that_hear_each_other_stay_inside_together(nodes):
-    """All servers fail, every node retries all it may.
+def test_connected_nodes_together_stay_within_the_budget(nodes):
+    """All servers fail and every node sends all retries that it may.
 
-    The sum of the nodes must stay inside the budget, or a failing service is loaded further.
+    If the nodes together exceeded the budget, they would add load to a failing service.
     """
     budgets = [FleetRetryBudget(ALLOWANCE) for _ in range(nodes)]
     total = 0
     for _ in range(200):
-        spent = [budget.usage("s", 0) for budget in budgets]
+        usages = [budget.usage("s", 0) for budget in budgets]
         for index, budget in enumerate(budgets):
-            others = spent[:index] + spent[index + 1 :]
-            if budget.headroom("s", heard(others), 0).is_allowed:
-                spend(budget)
+            peers = usages[:index] + usages[index + 1 :]
+            if budget.headroom("s", peer_usage(peers), 0).is_allowed:
+                send_retry(budget)
                 total += 1
     assert 5 <= total <= 54
 
 
-def test_nodes_that_hear_nobody_stay_inside_together():
-    total = sum(retries_allowed(FleetRetryBudget(ALLOWANCE), heard([], 7)) for _ in range(7))
+def test_isolated_nodes_together_stay_within_the_budget():
+    total = sum(send_all_allowed(FleetRetryBudget(ALLOWANCE), peer_usage([], 7)) for _ in range(7))
     assert total <= 54
 
 
-def test_requests_earn_retries():
+def test_first_attempts_earn_retries():
     budget = FleetRetryBudget(ALLOWANCE)
     for _ in range(400):
         budget.record_first_attempt("s", 0)
-    allowed = retries_allowed(budget, heard([RetryUsage(100, 0)]))
+    allowed = send_all_allowed(budget, peer_usage([RetryUsage(100, 0)]))
     assert 60 < allowed <= 0.2 * 500 + 54
 
 
-def test_the_window_slides():
+def test_retries_are_available_again_after_the_window():
     budget = FleetRetryBudget(ALLOWANCE)
-    first = retries_allowed(budget, heard([RetryUsage()]), 0)
-    assert retries_allowed(budget, heard([RetryUsage()]), 9_999) == 0
-    assert retries_allowed(budget, heard([RetryUsage()]), 10_000) == first
+    first = send_all_allowed(budget, peer_usage([RetryUsage()]), 0)
+    assert send_all_allowed(budget, peer_usage([RetryUsage()]), 9_999) == 0
+    assert send_all_allowed(budget, peer_usage([RetryUsage()]), 10_000) == first
 
 
-def test_services_do_not_share():
+def test_each_service_has_its_own_budget():
     budget = FleetRetryBudget(ALLOWANCE)
-    retries_allowed(budget, heard([RetryUsage()]))
-    assert budget.headroom("other", heard([RetryUsage()]), 0).is_allowed
+    send_all_allowed(budget, peer_usage([RetryUsage()]))
+    assert budget.headroom("other", peer_usage([RetryUsage()]), 0).is_allowed
 
 
-def test_a_retry_that_was_granted_counts_until_it_is_sent_and_a_window_on():
+def test_granted_retry_counts_until_one_window_after_it_is_sent():
     budget = FleetRetryBudget(ALLOWANCE)
     budget.grant_retry("s", 0)
     assert budget.usage("s", 30_000).retries == 1
@@ -85,25 +85,25 @@
     assert budget.usage("s", 40_000).retries == 0
 
 
-def test_before_the_others_have_heard_a_node_spends_only_its_part():
-    """All may want to at the same moment; a while later each sees what the others took."""
-    others = PeerRetryUsage((RetryUsage(),) * 5, 6, 6, max_heartbeat_age_ms=800)
+def test_node_uses_only_its_part_until_peers_have_received_its_usage():
+    """All nodes may retry at the same moment, and receive each other's usage only a while later."""
+    peers = PeerRetryUsage((RetryUsage(),) * 5, 6, 6, max_heartbeat_age_ms=800)
     budget = FleetRetryBudget(ALLOWANCE)
-    first = retries_allowed(budget, others, 0)
+    first = send_all_allowed(budget, peers, 0)
     assert 5 <= first <= 54 / 6
-    assert retries_allowed(budget, others, 799) == 0
-    assert 1 <= retries_allowed(budget, others, 800) <= first
+    assert send_all_allowed(budget, peers, 799) == 0
+    assert 1 <= send_all_allowed(budget, peers, 800) <= first
 
 
 def test_silent_nodes_keep_their_share_of_the_reserve():
     budget = FleetRetryBudget(ALLOWANCE)
-    assert retries_allowed(budget, PeerRetryUsage((RetryUsage(), RetryUsage()), 6, 3)) <= 54 / 2
+    assert send_all_allowed(budget, PeerRetryUsage((RetryUsage(), RetryUsage()), 6, 3)) <= 54 / 2
 
 
-def test_a_process_that_remembers_nothing_has_hardly_any_retries():
+def test_restarted_process_has_hardly_any_retries():
     budget = FleetRetryBudget(ALLOWANCE, started_ms=0)
     for _ in range(200):
         budget.record_first_attempt("s", 1_000)
-    unknown = attrs.evolve(heard([RetryUsage()]), is_entitled=False)
-    assert retries_allowed(budget, unknown, 2_000) <= 0.2 * 200 * 0.15
+    not_entitled = attrs.evolve(peer_usage([RetryUsage()]), is_entitled=False)
+    assert send_all_allowed(budget, not_entitled, 2_000) <= 0.2 * 200 * 0.15
     assert (budget.counted_ms(2_000), budget.counted_ms(12_000)) == (2_000, 10_000)
--- a/tests/routing/test_limits_and_keys.py
+++ b/tests/routing/test_limits_and_keys.py
@@ -1,4 +1,4 @@
-"""Tests of keys, limits and the choice among servers."""
+"""Tests of idempotency keys, admission limits, the retry budget and the server balancer."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
     return IdempotencyKeys(retention_ms=1_000, max_keys=2)
 
 
-def test_key_stands_for_one_request(keys):
+def test_key_belongs_to_one_request(keys):
     assert keys.admit("acme", "k", b"body", "r1", 0) == NewKey()
     assert keys.admit("acme", "k", b"body", "r2", 10) == KnownKey("r1")
     assert keys.admit("acme", "k", b"other", "r3", 20) == KeyConflict()
 
 
-def test_keys_of_customers_never_meet(keys):
+def test_each_customer_has_its_own_keys(keys):
     keys.admit("acme", "k", b"body", "r1", 0)
     assert keys.admit("other", "k", b"else", "r2", 0) == NewKey()
 
 
-def test_full_book_refuses_rather_than_forgets(keys):
-    """More keys arrive than can be kept.
+def test_full_key_store_refuses_new_keys_and_keeps_old_ones(keys):
+    """More keys arrive than can be stored: the new ones are refused.
 
-    Forgetting an old one would let its request run a second time; the new ones are refused.
+    Dropping an old key would let its request run a second time.
     """
     keys.admit("acme", "a", b"", "r1", 0)
     keys.admit("acme", "b", b"", "r2", 0)
@@ -44,20 +44,20 @@
     assert keys.admit("acme", "a", b"", "r4", 0) == KnownKey("r1")
 
 
-def test_key_of_what_did_not_run_is_free_again(keys):
+def test_key_of_a_request_that_did_not_run_is_released(keys):
     keys.admit("acme", "k", b"body", "r1", 0)
     keys.record_end("acme", "k", 5, has_run=False)
     assert keys.admit("acme", "k", b"body", "r2", 10) == NewKey()
 
 
-def test_ended_key_is_kept_for_its_time(keys):
+def test_key_is_kept_for_the_retention_time_after_its_request(keys):
     keys.admit("acme", "k", b"body", "r1", 0)
     keys.record_end("acme", "k", 100, has_run=True)
     assert keys.admit("acme", "k", b"body", "r2", 1_000) == KnownKey("r1")
     assert keys.admit("acme", "k", b"body", "r3", 1_200) == NewKey()
 
 
-def test_refusal_is_at_once_and_tells_when_to_come_back():
+def test_refusal_is_immediate_and_says_when_to_retry():
     admission = Admission(Limits(max_queue_per_runner=10, max_per_customer=5))
     for number in range(100):
         admission.record_start("x")
@@ -67,32 +67,32 @@
     assert refusal.reason == "the queue is full"
     assert 250 <= refusal.retry_after_ms <= 1_000
     assert admission.mean_run_ms("m1") == 50
-    late = admission.check("acme", "m1", 9, 300, 10_000)
-    assert late.reason == "the queue is longer than the time left"
+    too_late = admission.check("acme", "m1", 9, 300, 10_000)
+    assert too_late.reason == "the queue is longer than the time left"
     assert admission.check("acme", "m1", 3, 60_000, 10_000) is None
 
 
-def test_customer_can_hold_only_so_many_requests():
+def test_concurrent_requests_per_customer_are_limited():
     admission = Admission(Limits(max_per_customer=1))
     admission.record_start("acme")
     assert admission.check("acme", "m1", 0, 1_000, 0).status == 429
     assert admission.check("other", "m1", 0, 1_000, 0) is None
 
 
-def test_retries_are_a_share_of_first_tries():
+def test_retries_are_a_share_of_first_attempts():
     budget = RetryBudget(share=0.1, reserve=2)
-    spent = sum(budget.try_spend() for _ in range(10))
+    initially_spent = sum(budget.try_spend() for _ in range(10))
     for _ in range(100):
         budget.record_first_attempt()
-    assert spent == 2
+    assert initially_spent == 2
     assert sum(budget.try_spend() for _ in range(10)) == 2
 
 
-def test_server_with_fewest_own_calls_is_chosen():
-    choice = LeastCallsBalancer(random.Random(1))
-    first = choice.pick(["a", "b"])
-    second = choice.pick(["a", "b"])
+def test_server_with_fewest_own_calls_is_picked():
+    balancer = LeastCallsBalancer(random.Random(1))
+    first = balancer.pick(["a", "b"])
+    second = balancer.pick(["a", "b"])
     assert {first, second} == {"a", "b"}
-    choice.record_end(first)
-    assert choice.pick(["a", "b"]) == first
-    assert choice.pick([]) is None
+    balancer.record_end(first)
+    assert balancer.pick(["a", "b"]) == first
+    assert balancer.pick([]) is None
