--- a/tests/placement/test_late_confirmations.py
+++ b/tests/placement/test_late_confirmations.py
@@ -1,4 +1,4 @@
-"""Tests of a holder that asks its runners late whether loads are complete."""
+"""Tests of a busy lease holder that asks its runners late whether loads are complete."""
 
 from __future__ import annotations
 
@@ -8,35 +8,37 @@
 
 
 @pytest.fixture
-def rush(make_world):
-    """Return a function that plays a rush before a holder that was calm and is late now."""
+def rush(make_cell):
+    """Return a function that runs a rush at a lease holder that was idle and now asks late."""
 
-    def play(runners: int, store: int) -> list[int]:
-        """Return how many adapters were on their way at once, over time."""
-        world = make_world(runners, shared_store=store)
+    def run_rush(runners: int, store_capacity: int) -> list[int]:
+        """Return the number of adapters being loaded concurrently, at each step."""
+        cell = make_cell(runners, shared_store=store_capacity)
         for number in range(4):
-            world.ask(f"calm{number}")
-        world.run(600)
+            cell.request(f"calm{number}")
+        cell.run(600)
         for number in range(900):
-            world.ask(f"a{number}", deadline_ms=world.now_ms + 600_000, on_time_until_ms=10**9)
-        at_once = []
+            cell.request(f"a{number}", deadline_ms=cell.now_ms + 600_000, on_time_until_ms=10**9)
+        concurrent_loads = []
         for _ in range(66):
-            world.run(LATE_MS, every_ms=LATE_MS)
-            at_once.append(sum(len(runner.coming) for runner in world.runners.values()))
-        return at_once
+            cell.run(LATE_MS, every_ms=LATE_MS)
+            concurrent_loads.append(sum(len(runner.loading) for runner in cell.runners.values()))
+        return concurrent_loads
 
-    return play
+    return run_rush
 
 
-def test_a_holder_that_asks_late_does_not_take_the_store_for_slow(rush):
-    """A holder is calm, then so busy that it asks for loads 110 ms after they are complete.
+def test_late_confirmations_do_not_make_the_store_seem_slow(rush):
+    """Guards against a limit that falls because the lease holder itself is late.
 
-    The store sent 48 adapters at once in 250 ms each. The holder saw 360 ms, took the store for
-    slow, and let 4 come at once from then on: of 900 who waited 84 had a place after 8 s, not 437.
+    A holder was idle, then so busy that it asked for loads 110 ms after they were complete. The
+    store sent 48 adapters concurrently in 250 ms each. The holder saw 360 ms, took the store for
+    slow and allowed only 4 concurrent loads: after 8 s, 84 instead of 437 of 900 queued requests
+    had a slot.
     """
-    assert max(rush(runners=45, store=48)[33:]) >= 36
+    assert max(rush(runners=45, store_capacity=48)[33:]) >= 36
 
 
-def test_a_store_that_is_slow_is_seen_by_a_late_holder_too(rush):
-    """The store carries eight at full speed; what a late holder sees must still show it."""
-    assert max(rush(runners=45, store=8)[33:]) <= 12
+def test_a_slow_store_is_noticed_despite_late_confirmations(rush):
+    """The store carries eight loads at full speed, and late confirmations must still show it."""
+    assert max(rush(runners=45, store_capacity=8)[33:]) <= 12
--- a/tests/placement/test_load_limit.py
+++ b/tests/placement/test_load_limit.py
@@ -1,4 +1,4 @@
-"""The learnt bound on fetches: what the store carries, whatever else delays loads."""
+"""Tests that the learned limit on fetches follows the store's capacity and no other delays."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 FULL_SPEED_MS = 288
 STEP_MS = 10
-STARTS_A_STEP = 4
-"""Loads that the holder of a duty begins in one plan, at the most."""
+MAX_STARTS_PER_STEP = 4
+"""Maximum number of loads that a lease holder starts in one plan."""
 
 
 @attrs.frozen
 class Delay:
-    """What holds a load up beside the store.
+    """Delays of a load that the store does not cause.
 
-    :param before_ms: until its order is carried out.
-    :param after_ms: from its end until that is seen.
-    :param at_hand: its runner has it, nothing comes from the store.
+    :param start_delay_ms: time until its order is carried out.
+    :param notice_delay_ms: time from its completion until the completion is noticed.
+    :param is_cached: whether its runner has a cached copy, so that the store sends nothing.
     """
 
-    before_ms: float = 0
-    after_ms: float = 0
-    at_hand: bool = False
+    start_delay_ms: float = 0
+    notice_delay_ms: float = 0
+    is_cached: bool = False
 
 
 @attrs.frozen
 class Load:
-    """One load: on its way from the store from one time to another, and seen to have ended."""
+    """One load, which the store sends in a time span and whose completion is noticed later."""
 
-    began_ms: int
-    leaves_ms: float
-    arrives_ms: float
-    seen_ms: float
-    among: int
+    started_ms: int
+    sent_from_ms: float
+    sent_until_ms: float
+    noticed_ms: float
+    concurrent_loads: int
 
 
 Noise = Callable[[random.Random], Delay]
@@ -46,115 +46,137 @@
 
 @attrs.define
 class Store:
-    """A weight store before which there is always somebody who waits.
+    """A weight store for which there are always queued requests.
 
-    :param carries: loads at full speed; beyond it each takes longer in proportion.
-    :param slower: how many times as long each takes.
+    :param capacity: number of concurrent loads at full speed; beyond it each takes proportionally
+        longer.
+    :param slowdown: factor by which all loads take longer.
+    :param sending_counts: number of loads that the store was sending, at each step.
     """
 
-    carries: int
+    capacity: int
     noise: Noise
     rng: random.Random
-    slower: float = 1.0
+    slowdown: float = 1.0
     limit: LoadLimit = attrs.Factory(LoadLimit)
     now_ms: int = 0
     loads: list[Load] = attrs.Factory(list)
-    ended: int = 0
-    busy: list[int] = attrs.Factory(list)
+    completed_count: int = 0
+    sending_counts: list[int] = attrs.Factory(list)
 
     def run(self, for_ms: int) -> None:
-        """Let time pass."""
-        self.ended, self.busy = 0, []
+        """Let time pass; start loads whenever the limit allows it."""
+        self.completed_count, self.sending_counts = 0, []
         for _ in range(for_ms // STEP_MS):
             self.now_ms += STEP_MS
-            self._end()
-            among = self._in_progress()
-            for _ in range(STARTS_A_STEP):
-                if self.limit.allows(among, self.now_ms):
-                    among += 1
-                    self._begin(among)
-            self.busy.append(self._sent())
+            self._complete_loads()
+            concurrent_loads = self._in_progress()
+            for _ in range(MAX_STARTS_PER_STEP):
+                if self.limit.allows(concurrent_loads, self.now_ms):
+                    concurrent_loads += 1
+                    self._start_load(concurrent_loads)
+            self.sending_counts.append(self._loads_being_sent())
 
     def _in_progress(self) -> int:
         return sum(
-            self.limit.may_be_in_progress(self.now_ms - load.began_ms) for load in self.loads
+            self.limit.may_be_in_progress(self.now_ms - load.started_ms) for load in self.loads
         )
 
-    def _sent(self) -> int:
-        """Return how many loads the store is sending."""
-        return sum(load.leaves_ms <= self.now_ms < load.arrives_ms for load in self.loads)
+    def _loads_being_sent(self) -> int:
+        """Return the number of loads that the store is sending."""
+        return sum(load.sent_from_ms <= self.now_ms < load.sent_until_ms for load in self.loads)
 
-    def _begin(self, among: int) -> None:
+    def _start_load(self, concurrent_loads: int) -> None:
         delay, now_ms = self.noise(self.rng), self.now_ms
-        takes_ms = FULL_SPEED_MS * self.slower * max(1.0, (self._sent() + 1) / self.carries)
-        leaves_ms = now_ms + delay.before_ms
-        arrives_ms = leaves_ms + (0 if delay.at_hand else takes_ms)
-        self.loads.append(Load(now_ms, leaves_ms, arrives_ms, arrives_ms + delay.after_ms, among))
+        took_ms = (
+            FULL_SPEED_MS * self.slowdown * max(1.0, (self._loads_being_sent() + 1) / self.capacity)
+        )
+        sent_from_ms = now_ms + delay.start_delay_ms
+        sent_until_ms = sent_from_ms + (0 if delay.is_cached else took_ms)
+        self.loads.append(
+            Load(
+                now_ms,
+                sent_from_ms,
+                sent_until_ms,
+                sent_until_ms + delay.notice_delay_ms,
+                concurrent_loads,
+            )
+        )
 
-    def _end(self) -> None:
-        for load in [load for load in self.loads if load.seen_ms <= self.now_ms]:
+    def _complete_loads(self) -> None:
+        for load in [load for load in self.loads if load.noticed_ms <= self.now_ms]:
             self.loads.remove(load)
-            self.ended += 1
-            self.limit.record_load(self.now_ms - load.began_ms, load.among, self.now_ms)
+            self.completed_count += 1
+            self.limit.record_load(
+                self.now_ms - load.started_ms, load.concurrent_loads, self.now_ms
+            )
 
 
-def quiet(rng: random.Random) -> Delay:
-    """Return a load that is seen when it ends."""
-    return Delay(after_ms=rng.uniform(0, 20))
+def prompt_completions(rng: random.Random) -> Delay:
+    """Return the delay of a load whose completion is noticed at once."""
+    return Delay(notice_delay_ms=rng.uniform(0, 20))
 
 
 def lost_orders(rng: random.Random) -> Delay:
-    """Return a load of which every third order is carried out seconds late."""
+    """Return the delay of a load; every third order is carried out seconds late."""
     return Delay(rng.uniform(2_000, 4_000) if rng.random() < 0.3 else 0, rng.uniform(0, 20))
 
 
 def slow_runners(rng: random.Random) -> Delay:
-    """Return a load that every fourth runner is slow to tell of."""
+    """Return the delay of a load; every fourth runner is slow to report its completion."""
     return Delay(0, rng.uniform(0, 20) + (4 * FULL_SPEED_MS if rng.random() < 0.25 else 0))
 
 
-def busy(rng: random.Random) -> Delay:
-    """Return a load whose end is asked for late, one runner after the other."""
-    return Delay(after_ms=rng.uniform(20, 300))
+def busy_holder(rng: random.Random) -> Delay:
+    """Return the delay of a load whose holder asks one runner after another, and thus late."""
+    return Delay(notice_delay_ms=rng.uniform(20, 300))
 
 
-def some_at_hand(rng: random.Random) -> Delay:
-    """Return a load that one runner in fifty has at hand, though nobody knew."""
-    return Delay(after_ms=rng.uniform(0, 20), at_hand=rng.random() < 0.02)
+def some_cached(rng: random.Random) -> Delay:
+    """Return the delay of a load; one runner in fifty has a cached copy that is not known."""
+    return Delay(notice_delay_ms=rng.uniform(0, 20), is_cached=rng.random() < 0.02)
 
 
-@pytest.mark.parametrize("noise", [quiet, lost_orders, slow_runners, busy, some_at_hand])
-@pytest.mark.parametrize("carries", [8, 24, 48])
-def test_what_delays_loads_beside_the_store_does_not_lower_the_bound(carries: int, noise: Noise):
-    """A rush for rare adapters before 45 runners, whose store sends 24 and more at full speed.
+@pytest.mark.parametrize(
+    "noise", [prompt_completions, lost_orders, slow_runners, busy_holder, some_cached]
+)
+@pytest.mark.parametrize("capacity", [8, 24, 48])
+def test_delays_not_caused_by_the_store_do_not_lower_the_limit(capacity: int, noise: Noise):
+    """Guards against a limit that falls because some loads end late for other reasons, or at once.
 
-    Some loads ended late for other reasons, or at once. Each was read as a store that is full: with
-    ``fetch_ms=294`` all the while ``fetch_limit`` fell from 33 to 7 within six seconds and stayed
-    there; 94 of 212 places were idle, 126 requests waited, and adapters that were asked for all day
-    were never loaded.
+    In a rush with 45 runners and a store that sends 24 or more at full speed, such loads were taken
+    for a saturated store. ``fetch_limit`` fell from 33 to 7 within six seconds and stayed there,
+    while ``fetch_ms`` was 294 throughout. 94 of 212 slots were idle, 126 requests waited, and
+    adapters that were requested all day were never loaded.
     """
     for seed in range(5):
-        store = Store(carries, noise, random.Random(seed))
+        store = Store(capacity, noise, random.Random(seed))
         store.run(8_000)
         store.run(20_000)
-        most = carries * 20_000 / FULL_SPEED_MS
-        assert store.ended >= 0.7 * most, (seed, store.limit.limit)
-        # Orders that are carried out late come on top of those that the bound counts.
-        at_most = carries * (2.5 if noise is lost_orders else 1.7)
-        assert sum(store.busy) / len(store.busy) <= at_most, (seed, store.limit.limit)
+        max_completed = capacity * 20_000 / FULL_SPEED_MS
+        assert store.completed_count >= 0.7 * max_completed, (seed, store.limit.limit)
+        # Loads whose orders are carried out late are not part of those that the limit counts.
+        max_sending = capacity * (2.5 if noise is lost_orders else 1.7)
+        assert sum(store.sending_counts) / len(store.sending_counts) <= max_sending, (
+            seed,
+            store.limit.limit,
+        )
 
 
-@pytest.mark.parametrize("slower", [2.0, 3.2, 4.0])
-def test_a_store_that_becomes_slower_is_not_asked_for_more_and_more(slower: float):
-    """The store is down to a third of its speed for a while.
+@pytest.mark.parametrize("slowdown", [2.0, 3.2, 4.0])
+def test_a_store_that_becomes_slower_does_not_get_ever_more_loads(slowdown: float):
+    """Guards against ever more loads while the store runs at a third of its speed for a while.
 
-    No load was at full speed any more; taken for lost, they counted as nothing, and each let
-    another begin: 178 at once after 20 s before a store that carries 24.
+    No load reached full speed any more. All were taken for lost and not counted, so each allowed
+    another to start: after 20 s, 178 loads were in progress at a store that can carry 24.
     """
     for seed in range(5):
-        store = Store(24, quiet, random.Random(seed))
+        store = Store(24, prompt_completions, random.Random(seed))
         store.run(8_000)
-        store.slower = slower
+        store.slowdown = slowdown
         store.run(10_000)
         store.run(20_000)
-        assert sum(store.busy) / len(store.busy) <= 2.5 * store.carries, (seed, store.limit.limit)
+        assert sum(store.sending_counts) / len(store.sending_counts) <= 2.5 * store.capacity, (
+            seed,
+            store.limit.limit,
+        )
--- a/tests/placement/test_returning_callers.py
+++ b/tests/placement/test_returning_callers.py
@@ -1,4 +1,4 @@
-"""Callers that were sent away and come back, as the desk sees them."""
+"""Tests of callers that were refused and retry, at the scheduler."""
 
 from __future__ import annotations
 
@@ -7,79 +7,81 @@
 from tests.placement.conftest import MODEL
 
 
-def crowd(world):
-    """Let all places be in use for good."""
+def use_all_slots(cell):
+    """Fill all slots with requests that do not end."""
     for number in range(6):
-        world.ask(f"a{number}")
-        world.run(300)
-        world.use("i-0", f"a{number}")
+        cell.request(f"a{number}")
+        cell.run(300)
+        cell.start_requests("i-0", f"a{number}")
 
 
-def test_a_caller_that_comes_back_is_not_taken_for_new(make_world):
-    """Refused in a rush, a caller comes back with the same prompt: its answer is late already.
+def test_a_returning_caller_is_not_treated_as_new(make_cell):
+    """A caller refused in a rush retries with the same prompt, and its answer is already late.
 
-    Its latency objective counts from its first try. Counted from its return, it would get a place
-    before callers that can still be answered in time, and they would be late as well.
+    Its latency objective counts from its first attempt. If it counted from the retry, the caller
+    would get a slot before callers that can be answered in time, and they would be late as well.
     """
-    world = make_world()
-    crowd(world)
-    first_ms = world.now_ms
-    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
-    world.run(200)
-    assert isinstance(world.settled["first"], NoSlot)
-    back = world.ask("b", "back", session_key="5c1e")
-    assert back.first_attempt_ms == first_ms
-    assert back.tried_ms == 200
-    new = world.ask("b", "new", session_key="77aa")
+    cell = make_cell()
+    use_all_slots(cell)
+    first_attempt_ms = cell.now_ms
+    cell.request("b", "first", session_key="5c1e", deadline_ms=cell.now_ms + 100)
+    cell.run(200)
+    assert isinstance(cell.results["first"], NoSlot)
+    returning = cell.request("b", "back", session_key="5c1e")
+    assert returning.first_attempt_ms == first_attempt_ms
+    assert returning.tried_ms == 200
+    new = cell.request("b", "new", session_key="77aa")
     assert new.tried_ms == 0
-    assert new.on_time_until_ms - back.on_time_until_ms == 200
+    assert new.on_time_until_ms - returning.on_time_until_ms == 200
 
 
-def test_who_comes_back_gets_its_place_after_who_can_still_be_on_time(make_world):
-    world = make_world()
-    crowd(world)
-    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
-    world.run(500)
-    world.ask("b", "back", session_key="5c1e")
-    world.ask("c", "new", session_key="77aa")
-    world.free("i-0", "a3")
-    world.run(400)
-    assert world.placed("new") == "i-0"
-    assert "back" not in world.settled
+def test_returning_callers_get_slots_after_requests_that_can_be_on_time(make_cell):
+    cell = make_cell()
+    use_all_slots(cell)
+    cell.request("b", "first", session_key="5c1e", deadline_ms=cell.now_ms + 100)
+    cell.run(500)
+    cell.request("b", "back", session_key="5c1e")
+    cell.request("c", "new", session_key="77aa")
+    cell.end_requests("i-0", "a3")
+    cell.run(400)
+    assert cell.runner_of("new") == "i-0"
+    assert "back" not in cell.results
 
 
-def test_a_caller_is_told_how_long_it_has_tried(make_world):
-    """Its node ranks it at the runner by that: who is late already goes behind."""
-    world = make_world()
-    crowd(world)
-    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
-    world.run(200)
-    world.ask("b", "back", session_key="5c1e")
-    world.free("i-0", "a3")
-    world.run(600)
-    result = world.settled["back"]
+def test_a_placed_request_tells_how_long_its_caller_has_tried(make_cell):
+    """Its node derives the rank at the runner from this: requests already late come last."""
+    cell = make_cell()
+    use_all_slots(cell)
+    cell.request("b", "first", session_key="5c1e", deadline_ms=cell.now_ms + 100)
+    cell.run(200)
+    cell.request("b", "back", session_key="5c1e")
+    cell.end_requests("i-0", "a3")
+    cell.run(600)
+    result = cell.results["back"]
     assert isinstance(result, Placed)
     assert result.tried_ms == 200
 
 
-def test_a_prompt_without_parts_and_an_old_refusal_tell_nothing(make_world):
-    world = make_world()
-    crowd(world)
-    world.ask("b", "none", deadline_ms=world.now_ms + 100)
-    world.ask("c", "old", session_key="5c1e", deadline_ms=world.now_ms + 100)
-    world.run(200)
-    assert world.ask("b", "none again").tried_ms == 0
-    world.now_ms += RETENTION_MS + 1_000
-    assert world.ask("c", "old again", session_key="5c1e").tried_ms == 0
-    assert f"{MODEL}/c" in {waiter.adapter_name for waiter in world.desk.queued_requests}
+def test_callers_without_session_key_or_with_an_old_refusal_are_new(make_cell):
+    cell = make_cell()
+    use_all_slots(cell)
+    cell.request("b", "none", deadline_ms=cell.now_ms + 100)
+    cell.request("c", "old", session_key="5c1e", deadline_ms=cell.now_ms + 100)
+    cell.run(200)
+    assert cell.request("b", "none again").tried_ms == 0
+    cell.now_ms += RETENTION_MS + 1_000
+    assert cell.request("c", "old again", session_key="5c1e").tried_ms == 0
+    assert f"{MODEL}/c" in {request.adapter_name for request in cell.scheduler.queued_requests}
 
 
-def test_a_caller_known_twice_to_have_come_back_is_aged_once(make_world):
-    """Its node tells it by its deadline, the desk by its prompt: both mean the same first try."""
-    world = make_world()
-    crowd(world)
-    first_ms = world.now_ms
-    world.ask("b", "first", session_key="5c1e", deadline_ms=world.now_ms + 100)
-    world.run(200)
-    back = world.ask("b", "back", session_key="5c1e", first_attempt_ms=first_ms, tried_ms=200)
-    assert (back.tried_ms, back.on_time_until_ms) == (200, world.now_ms + 700)
+def test_earlier_attempts_known_from_two_sources_are_counted_once(make_cell):
+    """Its node knows the first attempt by the deadline, the scheduler by the prompt."""
+    cell = make_cell()
+    use_all_slots(cell)
+    first_attempt_ms = cell.now_ms
+    cell.request("b", "first", session_key="5c1e", deadline_ms=cell.now_ms + 100)
+    cell.run(200)
+    returning = cell.request(
+        "b", "back", session_key="5c1e", first_attempt_ms=first_attempt_ms, tried_ms=200
+    )
+    assert (returning.tried_ms, returning.on_time_until_ms) == (200, cell.now_ms + 700)
--- a/tests/placement/test_runner_restarts.py
+++ b/tests/placement/test_runner_restarts.py
@@ -1,4 +1,4 @@
-"""Runners that start again under their id, as the desk that orders them sees it."""
+"""Tests of runners that restart under the same id, at the scheduler."""
 
 from __future__ import annotations
 
@@ -11,119 +11,122 @@
 OLD, NEW = ServerLife.of("i-9", 1_000), ServerLife.of("i-9", 2_000)
 
 
-def start_again(world):
-    """Let the runner start again: it holds its base model and nothing else."""
-    world.runners[NEW] = FakeRunner(NEW)
-    world.desk.remove_runner(OLD)
-    world.desk.add_runner(NEW, restarted_ms=world.now_ms)
-
-
-def test_a_new_life_is_asked_what_it_holds_and_nothing_of_before_is_believed(make_world):
-    world = make_world(0)
-    world.runners[OLD] = FakeRunner(OLD)
-    world.desk.add_runner(OLD)
-    world.ask("a1")
-    world.run(400)
-    assert world.placed("a1") == OLD
-    start_again(world)
-    world.ask("a1", "again")
-    world.run(400)
-    assert world.placed("again") == NEW
-    assert world.runners[NEW].held == {f"{MODEL}/a1": 1}
-
-
-def test_an_order_without_answer_takes_no_place_of_the_next_life(make_world):
-    """The answer to a load is lost and its runner starts again: what it was ordered is gone."""
-    world = make_world(0)
-    world.runners[OLD] = FakeRunner(OLD)
-    world.desk.add_runner(OLD)
-    world.run(50)
-    world.lose = 1
-    world.ask("a1")
-    world.turn()
-    assert world.desk.runners[OLD].unconfirmed_order is not None
-    start_again(world)
-    world.late.clear()
-    world.run(50)
-    assert world.desk.runners[NEW].unconfirmed_order is None
-    assert world.desk.runners[NEW].slots == {} or "m/a1" in world.desk.runners[NEW].slots
-
-
-def test_a_late_order_to_the_life_before_finds_a_place_on_the_next_one(make_world):
-    """An order is unanswered, its runner starts again under the same id and fills up.
-
-    The late order's condition, the number of orders before it, holds again for the new life when
-    that has taken as many. On a full runner it would be one adapter too many: the runner crashes.
+def restart_runner(cell):
+    """Restart the runner: it holds its base model and no adapters."""
+    cell.runners[NEW] = FakeRunner(NEW)
+    cell.scheduler.remove_runner(OLD)
+    cell.scheduler.add_runner(NEW, restarted_ms=cell.now_ms)
+
+
+def test_adapters_held_before_a_restart_are_loaded_again(make_cell):
+    cell = make_cell(0)
+    cell.runners[OLD] = FakeRunner(OLD)
+    cell.scheduler.add_runner(OLD)
+    cell.request("a1")
+    cell.run(400)
+    assert cell.runner_of("a1") == OLD
+    restart_runner(cell)
+    cell.request("a1", "again")
+    cell.run(400)
+    assert cell.runner_of("again") == NEW
+    assert cell.runners[NEW].held == {f"{MODEL}/a1": 1}
+
+
+def test_an_unanswered_order_takes_no_slot_after_a_restart(make_cell):
+    """The response to a load is lost and the runner restarts: the ordered adapter is not there."""
+    cell = make_cell(0)
+    cell.runners[OLD] = FakeRunner(OLD)
+    cell.scheduler.add_runner(OLD)
+    cell.run(50)
+    cell.orders_to_lose = 1
+    cell.request("a1")
+    cell.run_plan()
+    assert cell.scheduler.runners[OLD].unconfirmed_order is not None
+    restart_runner(cell)
+    cell.delayed_orders.clear()
+    cell.run(50)
+    assert cell.scheduler.runners[NEW].unconfirmed_order is None
+    assert cell.scheduler.runners[NEW].slots == {} or "m/a1" in cell.scheduler.runners[NEW].slots
+
+
+def test_a_delayed_order_from_before_a_restart_finds_a_free_slot(make_cell):
+    """An order is not answered, and its runner restarts under the same id and fills its slots.
+
+    The condition of the delayed order, the number of orders before it, holds again once the new
+    process has accepted as many. On a full runner it would be one adapter too many, and the runner
+    would crash.
     """
-    world = make_world(0)
-    world.runners[OLD] = FakeRunner(OLD)
-    world.desk.add_runner(OLD)
-    start_again(world)
+    cell = make_cell(0)
+    cell.runners[OLD] = FakeRunner(OLD)
+    cell.scheduler.add_runner(OLD)
+    restart_runner(cell)
     for number in range(12):
-        world.ask(f"b{number}", deadline_ms=world.now_ms + 20_000)
-    world.run(1_500)
-    runner = world.runners[NEW]
-    assert len(runner.held) == runner.slots - 1
-    late = OrderStep(OLD, Operation.LOAD, f"{MODEL}/late", None, runner.sequence)
-    assert isinstance(runner.order(late, world.now_ms), Accepted)
+        cell.request(f"b{number}", deadline_ms=cell.now_ms + 20_000)
+    cell.run(1_500)
+    runner = cell.runners[NEW]
+    assert len(runner.held) == runner.slot_count - 1
+    delayed_order = OrderStep(OLD, Operation.LOAD, f"{MODEL}/late", None, runner.sequence)
+    assert isinstance(runner.order(delayed_order, cell.now_ms), Accepted)
     assert not runner.crashed
-    world.run(1_500)
+    cell.run(1_500)
     assert not runner.crashed
 
 
-def test_the_spare_place_is_used_once_no_order_of_before_can_come(make_world):
-    world = make_world(0)
-    world.runners[OLD] = FakeRunner(OLD)
-    world.desk.add_runner(OLD)
-    start_again(world)
+def test_the_spare_slot_is_used_once_no_delayed_order_can_arrive(make_cell):
+    cell = make_cell(0)
+    cell.runners[OLD] = FakeRunner(OLD)
+    cell.scheduler.add_runner(OLD)
+    restart_runner(cell)
     for number in range(12):
-        world.ask(f"b{number}", deadline_ms=world.now_ms + 20_000)
-    world.run(MAX_ORDER_DELAY_MS + 1_000)
-    world.ask("c")
-    world.run(400)
-    assert len(world.runners[NEW].held) == world.runners[NEW].slots
-
-
-def test_an_answer_of_the_life_before_changes_nothing(make_world):
-    """An order is on its way when its runner starts again; then its answer is lost."""
-    world = make_world(0)
-    world.runners[OLD] = FakeRunner(OLD)
-    world.desk.add_runner(OLD)
-    world.run(50)
-    start_again(world)
-    world.run(50)
+        cell.request(f"b{number}", deadline_ms=cell.now_ms + 20_000)
+    cell.run(MAX_ORDER_DELAY_MS + 1_000)
+    cell.request("c")
+    cell.run(400)
+    assert len(cell.runners[NEW].held) == cell.runners[NEW].slot_count
+
+
+def test_a_result_from_before_a_restart_changes_nothing(make_cell):
+    """An order is in progress when its runner restarts, and then its response is lost."""
+    cell = make_cell(0)
+    cell.runners[OLD] = FakeRunner(OLD)
+    cell.scheduler.add_runner(OLD)
+    cell.run(50)
+    restart_runner(cell)
+    cell.run(50)
     step = OrderStep(OLD, Operation.LOAD, f"{MODEL}/a1", None, 0)
-    assert world.desk.handle_order_result(step, Unanswered("lost"), world.now_ms)
-    assert world.desk.runners[NEW].unconfirmed_order is None
+    assert cell.scheduler.handle_order_result(step, Unanswered("lost"), cell.now_ms)
+    assert cell.scheduler.runners[NEW].unconfirmed_order is None
 
 
-def test_a_runner_that_lacks_what_is_believed_there_is_ordered_to_load_it_again(make_world):
-    """An unload of a former holder is carried out late, unseen by the one that took over.
+def test_an_adapter_that_its_runner_lacks_is_loaded_again(make_cell):
+    """Guards against sending requests to a runner that no longer holds the adapter.
 
-    Each request sent there is refused and asks again: until the runner was asked what it holds, the
-    holder sent it back, 41 times in 0.2 s, and the fleet had spent its retry budget.
+    A delayed unload of a former lease holder is carried out unnoticed by its successor. Each
+    request sent there was refused and requested a slot again. Until the runner was asked what it
+    holds, the holder sent a request back 41 times in 0.2 s, which used up the retry budget of the
+    fleet.
     """
-    world = make_world()
-    world.ask("a1")
-    world.run(400)
-    runner = world.runners["i-0"]
+    cell = make_cell()
+    cell.request("a1")
+    cell.run(400)
+    runner = cell.runners["i-0"]
     del runner.held[f"{MODEL}/a1"]
     runner.sequence += 1
-    world.desk.mark_unconfirmed("i-0", f"{MODEL}/a1", world.now_ms)
-    world.ask("a1", "again")
-    assert "again" not in world.settled
-    world.run(700)
-    assert world.placed("again") == "i-0"
+    cell.scheduler.mark_unconfirmed("i-0", f"{MODEL}/a1", cell.now_ms)
+    cell.request("a1", "again")
+    assert "again" not in cell.results
+    cell.run(700)
+    assert cell.runner_of("again") == "i-0"
     assert f"{MODEL}/a1" in runner.held
 
 
-def test_a_doubt_without_cause_costs_one_order(make_world):
-    world = make_world()
-    world.ask("a1")
-    world.run(400)
-    loads = world.desk.load_count
-    world.desk.mark_unconfirmed("i-0", f"{MODEL}/a1", world.now_ms)
-    world.ask("a1", "again")
-    world.run(30)
-    assert world.placed("again") == "i-0"
-    assert world.desk.load_count == loads
+def test_an_adapter_wrongly_marked_unconfirmed_is_not_loaded_again(make_cell):
+    cell = make_cell()
+    cell.request("a1")
+    cell.run(400)
+    load_count = cell.scheduler.load_count
+    cell.scheduler.mark_unconfirmed("i-0", f"{MODEL}/a1", cell.now_ms)
+    cell.request("a1", "again")
+    cell.run(30)
+    assert cell.runner_of("again") == "i-0"
+    assert cell.scheduler.load_count == load_count
