--- a/monsoonflow/routing/caller_timeouts.py
+++ b/monsoonflow/routing/caller_timeouts.py
@@ -22,8 +22,8 @@
     callers that can still be answered in time.
 
     If the callers of a route use many different timeouts, none is typical and the estimate is 0.
-    Otherwise, with timeouts spread over 15 % below 15 s, 70 of 100 first attempts looked like
-    retries and got their slots last.
+    Otherwise, with timeouts spread over the 15 % below 15 s, 70 of 100 first attempts would look
+    like retries and get their slots last.
 
     >>> timeouts = TypicalCallerTimeouts()
     >>> [timeouts.estimate_waited_ms("r", timeout_ms) for timeout_ms in (4_000, 4_000, 900)]
