--- a/monsoonflow/gateway/__init__.py
+++ b/monsoonflow/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Passes callers' requests on to backend servers, byte for byte, and their answers back."""
+"""Forwards callers' requests to backend servers, and the answers back, byte for byte."""
--- a/monsoonflow/gateway/attempt.py
+++ b/monsoonflow/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""Sends a request to one server and reads what comes back."""
+"""Sends a request to one server and forwards the answer."""
 
 from __future__ import annotations
 
@@ -27,39 +27,38 @@
 )
 
 MAX_STALE_ANSWERS: Final = 2
-"""Late answers to other requests that are skipped before a connection is given up."""
+"""Answers read on a connection before it is closed because all of them belong to other requests."""
 
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request did not run and never will."""
 
-
 START_CHECK_INTERVAL_MS: Final = 250
-"""How often a request that waits for a first sign is looked at: a newer version of its adapter may
-have been named, and it must not begin on the old one."""
+"""How often a request that waits for its first response is checked: a newer version of its adapter
+may have been requested, and the request must not begin on the old one."""
 
 ReadResult = TypeVar("ReadResult")
 
 
 class SilentServer(Exception):
-    """No event of a stream has come in time."""
+    """The first event of a stream has not arrived in time."""
 
 
 class BeginsTooLate(Exception):
-    """The request waits for an adapter version that may no longer begin."""
+    """The request still waits at the server, but may no longer begin on its adapter version."""
 
 
 class Attempt:
-    """One try of a request at one server.
+    """One attempt to have a request answered by one server.
 
-    :param until_ms: when the request's time is over.
-    :param sign_until_ms: until when the server must have given a sign: an answer, or the first
-        event of a stream.
-    :param on_sign: called at the first sign of work (the first event of a stream).
-    :param begins_until: returns until when the request may begin, as it is known at that moment;
-        ``None`` without a bound.
-    :param may_send: tells whether the server still takes work.
-    :param on_send: called just before the request goes out.
-    :param on_alive: called at each part of an answer that shows that the server is at work.
+    :param answer_deadline_ms: when the request's time is over.
+    :param response_deadline_ms: when the server must have responded: with the head of an answer,
+        or for a stream with the first event.
+    :param on_first_event: called at the first event of a stream.
+    :param start_deadline: returns the time until which the request may begin at the server, as
+        known at that moment; ``None`` without a limit.
+    :param may_send: returns whether the server still accepts requests.
+    :param on_send: called just before the request is sent.
+    :param on_activity: called for each part of an answer, which shows that the server is working.
     """
 
     def __init__(
@@ -95,38 +94,39 @@
         reply: Reply,
         splitter: EventSplitter | None,
     ) -> AttemptResult:
-        """Send the request and pass its answer on.
+        """Send the request and forward its answer to the caller.
 
-        :param head: returns the request's head as of the moment of the send.
-        :param cutter: for a stream; holds what was passed on by earlier tries.
+        :param build_head: returns the request's head as of the moment of sending.
+        :param splitter: knows which events of a stream earlier attempts have forwarded; ``None``
+            if the request is no stream.
         """
-        # A machine without power answers no connection: waited for beyond the request's own time,
-        # its caller was answered 115 ms after the route's timeout.
-        left_ms = self._answer_deadline_ms - self._pools.clock.now_ms()
-        connect_ms = max(1, min(CONNECT_TIMEOUT_MS, left_ms))
+        # A machine without power never answers a connection attempt. Without this limit, the caller
+        # was answered 115 ms after the route's timeout.
+        remaining_ms = self._answer_deadline_ms - self._pools.clock.now_ms()
+        connect_ms = max(1, min(CONNECT_TIMEOUT_MS, remaining_ms))
         connection = self._pools.take(chosen.life, chosen.address, connect_ms)
         if isinstance(connection, Lost):
             return Unsent(connection.reason, connection.refused)
-        clean = False
+        is_reusable = False
         answer_head = None
         try:
-            # After a pause of the process, the connection that was waited for may be taken before
-            # the end of the caller's: the request would be sent for nobody.
+            # After the process was suspended, the connection to the server may be ready before the
+            # end of the caller's connection was noticed: the request would be sent for nobody.
             reply.check_caller()
-            # The wait for the connection may be long: a server that was chosen 1.9 s after its word
-            # that it leaves was sent to 0.4 s beyond the bound of 2 s.
+            # Waiting for the connection may take long: a server that was chosen 1.9 s after it had
+            # announced that it leaves got the request 0.4 s after the limit of 2 s.
             if not self._may_send():
-                return Unsent("the server leaves")
+                return Unsent("the server is leaving")
             self._on_send()
-            # Made now: a server that was told the time left before a connection of half a second
-            # would work on for a caller that has gone.
+            # The head holds the remaining time, so it is built only now: with the time from before
+            # a connection that took 0.5 s, the server would go on working after the caller left.
             connection.send(build_head(), self._request.body, self._request.method == b"HEAD")
             answer_head, terms = self._read_matching_head(connection)
             if splitter is None or answer_head.status != 200:
                 result = self._read_whole(connection, answer_head, terms, reply, splitter)
             else:
                 result = self._forward_stream(connection, answer_head, terms, reply, splitter)
-            clean = True
+            is_reusable = True
             return result
         except SilentServer:
             return TimedOut(silent=True)
@@ -139,9 +139,9 @@
             silent = answer_head is None
             return Cut(reason, silent) if reply.started else Unclear(reason, silent)
         finally:
-            # On every other way out, also when the caller leaves, the connection is closed at once:
-            # the server stops its work, and no bytes of it can reach another request.
-            if clean and answer_head is not None:
+            # In all other cases, also when the caller leaves, the connection is closed at once: the
+            # server stops working, and no late bytes can reach another request.
+            if is_reusable and answer_head is not None:
                 self._pools.give_back(chosen.life, connection, answer_head)
             else:
                 connection.close()
@@ -149,8 +149,8 @@
     def _read_matching_head(self, connection: ServerConnection) -> tuple[AnswerHead, AnswerTerms]:
         """Return the head of the answer to this request.
 
-        A late answer to an earlier request can stand where this one's is due; its id tells, and it
-        is read and dropped.
+        A late answer to an earlier request may arrive first on the connection. It is recognised by
+        its request id, read and dropped.
         """
         for _ in range(MAX_STALE_ANSWERS):
             head = self._await_response(connection.read_head)
@@ -172,9 +172,10 @@
         reply: Reply,
         splitter: EventSplitter | None,
     ) -> AttemptResult:
-        """Read an answer to its end before a byte of it is passed on.
+        """Read an answer to its end before any byte of it is forwarded.
 
-        One that breaks off can then be tried again, or be told as a failure rather than be cut.
+        If it breaks off, the request can be retried, or the caller gets an error rather than a
+        truncated answer. An answer that is too large to buffer is forwarded while it arrives.
         """
         self._check_head(head, terms)
         pieces: list[bytes] = []
@@ -200,7 +201,7 @@
 
     def _check_head(self, head: AnswerHead, terms: AnswerTerms) -> None:
         if 200 <= head.status < 300 and not terms.is_signed:
-            raise BrokenAnswer("a success without the server's signature")
+            raise BrokenAnswer("a successful answer without the server's signature")
         if head.value(b"content-encoding") is not None:
             raise BrokenAnswer("an encoded body that the caller did not ask for")
 
@@ -215,26 +216,26 @@
         self._check_head(head, terms)
         splitter.incomplete = b""
         resumed_after = splitter.last_event_id
-        first = True
-        while (piece := self._next_piece(connection, first)) is not None:
+        is_first = True
+        while (piece := self._next_piece(connection, is_first)) is not None:
             self._on_activity()
-            whole = splitter.feed(piece)
-            if not whole:
+            events = splitter.feed(piece)
+            if not events:
                 continue
-            if first:
-                first = False
-                self._check_resume_position(whole, resumed_after)
+            if is_first:
+                is_first = False
+                self._check_resume_position(events, resumed_after)
                 self._on_first_event()
-            self._forward_events(head, whole, reply)
+            self._forward_events(head, events, reply)
         if not reply.started:
             reply.begin(head.status, self._dialect.forwarded_headers(head), None, head.reason)
-        # The server ended its answer properly: what is left over is the end of its body.
+        # The server ended its answer properly, so the held-back rest is the end of the body.
         reply.write(splitter.incomplete)
         reply.finish()
         return Passed()
 
-    def _next_piece(self, connection: ServerConnection, first: bool) -> bytes | None:
-        if not first:
+    def _next_piece(self, connection: ServerConnection, is_first: bool) -> bytes | None:
+        if not is_first:
             return connection.read_piece(self._answer_deadline_ms)
         try:
             return self._await_response(connection.read_piece)
@@ -242,15 +243,15 @@
             raise SilentServer from None
 
     def _await_response(self, read: Callable[[int], ReadResult]) -> ReadResult:
-        """Read what shows that the server works on the request.
+        """Read the first response, which shows that the server works on the request.
 
-        :raises TimeoutError: when the server is silent for too long.
-        :raises BeginsTooLate: when the request would begin on a version that is no longer wanted.
+        :raises TimeoutError: when the server has not responded by the response deadline.
+        :raises BeginsTooLate: when the request may no longer begin on its adapter version.
         """
         while True:
             now_ms = self._pools.clock.now_ms()
-            begins_until_ms = self._start_deadline()
-            if begins_until_ms is not None and now_ms >= begins_until_ms:
+            start_deadline_ms = self._start_deadline()
+            if start_deadline_ms is not None and now_ms >= start_deadline_ms:
                 raise BeginsTooLate
             try:
                 return read(min(self._response_deadline_ms, now_ms + START_CHECK_INTERVAL_MS))
@@ -258,16 +259,16 @@
                 if self._pools.clock.now_ms() >= self._response_deadline_ms:
                     raise
 
-    def _forward_events(self, head: AnswerHead, whole: bytes, reply: Reply) -> None:
+    def _forward_events(self, head: AnswerHead, events: bytes, reply: Reply) -> None:
         if reply.started:
-            reply.write(whole)
+            reply.write(events)
             return
-        reply.begin(head.status, self._dialect.forwarded_headers(head), None, head.reason, whole)
+        reply.begin(head.status, self._dialect.forwarded_headers(head), None, head.reason, events)
 
-    def _check_resume_position(self, whole: bytes, after: bytes | None) -> None:
-        """Refuse a run that begins anew where it should go on: its text would come twice."""
-        begins = first_event_id(whole)
-        if after is None or begins is None or not (after.isdigit() and begins.isdigit()):
+    def _check_resume_position(self, events: bytes, after: bytes | None) -> None:
+        """Reject a resumed stream that starts from the beginning: the caller would get it twice."""
+        first = first_event_id(events)
+        if after is None or first is None or not (after.isdigit() and first.isdigit()):
             return
-        if int(begins) <= int(after):
-            raise BrokenAnswer("the stream did not go on after the last event")
+        if int(first) <= int(after):
+            raise BrokenAnswer("the stream did not resume after the last event")
--- a/monsoonflow/gateway/budget.py
+++ b/monsoonflow/gateway/budget.py
@@ -1,4 +1,4 @@
-"""Counts requests and retries together with the other nodes."""
+"""Decides on retries inside a budget that this node shares with its peers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class SharedRetryBudget:
-    """The retry budget of all nodes, as this one knows it.
+    """The retry budget that all nodes share, as far as this node knows it.
 
-    :param active: tells whether this node has told the others that it has callers.
+    :param is_active: returns whether this node has announced to its peers that it has callers.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         self._is_active = is_active
 
     def record_request(self, service: str) -> None:
-        """Count a request for a service."""
+        """Count a caller's request for a service."""
         self._budget.record_first_attempt(service, self._clock.now_ms())
 
     def reserve_retry(self, service: str) -> Headroom:
-        """Return whether the budget allows one more arrival, and keep a place for it if so."""
+        """Return whether the budget allows one more retry, and reserve it if so."""
         now_ms = self._clock.now_ms()
         headroom = self._budget.headroom(service, self.peer_usage(service), now_ms)
         if headroom.is_allowed:
@@ -42,66 +42,81 @@
         return headroom
 
     def record_retry_sent(self, service: str) -> None:
-        """Count a further try that was allowed: it goes to a server now."""
+        """Count a reserved retry that is sent to a server now."""
         self._budget.record_sent_retry(service, self._clock.now_ms())
 
     def release_retry(self, service: str) -> None:
-        """Give back a further try that was allowed and will not be sent."""
+        """Give back a reserved retry that will not be sent."""
         self._budget.cancel_retry(service)
 
     def peer_usage(self, service: str) -> PeerRetryUsage:
-        """Return what the other nodes have spent of a service's budget."""
+        """Return what the peers have spent of a service's budget.
+
+        Active peers that receive this node's heartbeats, and idle peers, count with what they
+        announce themselves. For all others, the last heartbeat counts as long as it is in the
+        window. Retries of ended processes count as far as this node or a peer remembers them.
+        """
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
-        active_ms, idle_ms = view.max_age_ms(is_active=True), view.max_age_ms(is_active=False)
-        words = view.received_heartbeats(now_ms, max(window_ms, idle_ms))
-        active = [word.heartbeat for word in words if self._shares_budget(word, active_ms)]
-        idle = [w.heartbeat for w in words if not w.heartbeat.is_active and w.age_ms <= idle_ms]
-        counted = {report.name for report in (*active, *idle)}
+        active_max_age_ms, idle_max_age_ms = (
+            view.max_age_ms(is_active=True),
+            view.max_age_ms(is_active=False),
+        )
+        received = view.received_heartbeats(now_ms, max(window_ms, idle_max_age_ms))
+        active = [one.heartbeat for one in received if self._shares_budget(one, active_max_age_ms)]
+        idle = [
+            one.heartbeat
+            for one in received
+            if not one.heartbeat.is_active and one.age_ms <= idle_max_age_ms
+        ]
+        counted = {heartbeat.name for heartbeat in (*active, *idle)}
         silent = [
-            word.heartbeat
-            for word in words
-            if word.age_ms <= window_ms and word.heartbeat.name not in counted
+            one.heartbeat
+            for one in received
+            if one.age_ms <= window_ms and one.heartbeat.name not in counted
         ]
         ended = view.ended_process_heartbeats(window_ms, now_ms)
-        memories = [
-            report.retry_history
-            for report in active
-            if report.retry_history.counted_ms >= window_ms
+        histories = [
+            heartbeat.retry_history
+            for heartbeat in active
+            if heartbeat.retry_history.counted_ms >= window_ms
         ]
-        told_past = [memory.past_retries_by_service.get(service, 0) for memory in memories]
-        heard = {word.heartbeat.name for word in words}
-        sharers = {view.name, *view.record_by_name, *heard} - {report.name for report in idle}
+        announced_past = [history.past_retries_by_service.get(service, 0) for history in histories]
+        received_names = {one.heartbeat.name for one in received}
+        sharers = {view.name, *view.record_by_name, *received_names} - {
+            heartbeat.name for heartbeat in idle
+        }
         return PeerRetryUsage(
             reported=tuple(
                 [
-                    report.retry_usage_by_service.get(service, RetryUsage())
-                    for report in (*active, *idle)
+                    heartbeat.retry_usage_by_service.get(service, RetryUsage())
+                    for heartbeat in (*active, *idle)
                 ]
             ),
             sharing_nodes=len(sharers),
             connected_nodes=1 + len(active),
             past_retries=_count_retries(service, silent)
-            + max([_count_retries(service, ended), *told_past]),
+            + max([_count_retries(service, ended), *announced_past]),
             ended_processes=max(
-                [len(_abrupt_exits(ended)), *(memory.ended_processes for memory in memories)]
+                [len(_abrupt_exits(ended)), *(history.ended_processes for history in histories)]
             ),
             is_entitled=self._is_active()
-            and (self._budget.counted_ms(now_ms) >= window_ms or bool(memories)),
-            max_heartbeat_age_ms=active_ms + HEARTBEAT_INTERVAL_MS,
+            and (self._budget.counted_ms(now_ms) >= window_ms or bool(histories)),
+            max_heartbeat_age_ms=active_max_age_ms + HEARTBEAT_INTERVAL_MS,
         )
 
     def retry_history(self) -> RetryHistory:
-        """Return what this node tells the others of what it remembers.
+        """Return what this node announces about the recent retries of processes that have ended.
 
-        One that has no callers shares with nobody, and nobody asks for its memory.
+        A node without callers announces nothing: it shares the budget with no peer, and no peer
+        uses what it remembers.
         """
         if not self._is_active():
             return RetryHistory()
         view, now_ms = self._view, self._clock.now_ms()
         window_ms = self._budget.allowance.window_ms
         ended = view.ended_process_heartbeats(window_ms, now_ms)
-        services = {service for report in ended for service in report.retry_usage_by_service}
+        services = {service for heartbeat in ended for service in heartbeat.retry_usage_by_service}
         return RetryHistory(
             counted_ms=self._budget.counted_ms(now_ms),
             fresh_peers=frozenset(
@@ -113,25 +128,28 @@
             ended_processes=len(_abrupt_exits(ended)),
         )
 
-    def _shares_budget(self, word: ReceivedHeartbeat, max_age_ms: int) -> bool:
-        """Tell whether a node shares with this one by its word: both hear each other.
+    def _shares_budget(self, received: ReceivedHeartbeat, max_age_ms: int) -> bool:
+        """Return whether an active peer and this node receive each other's heartbeats.
 
-        One that does not hear this node spends by its last word, and keeps its own share.
+        Only then do they share the rest of the budget. A peer that does not receive this node's
+        heartbeats counts with its last heartbeat and keeps a share of its own.
         """
-        report = word.heartbeat
-        fresh = report.is_active and word.age_ms <= max_age_ms
-        return fresh and self._view.name in report.retry_history.fresh_peers
+        heartbeat = received.heartbeat
+        is_fresh = heartbeat.is_active and received.age_ms <= max_age_ms
+        return is_fresh and self._view.name in heartbeat.retry_history.fresh_peers
 
 
-def _count_retries(service: str, reports: list[Heartbeat]) -> int:
+def _count_retries(service: str, heartbeats: list[Heartbeat]) -> int:
     return sum(
-        report.retry_usage_by_service.get(service, RetryUsage()).retries for report in reports
+        heartbeat.retry_usage_by_service.get(service, RetryUsage()).retries
+        for heartbeat in heartbeats
     )
 
 
-def _abrupt_exits(ended: list[Heartbeat]) -> list[Heartbeat]:
-    """Return the processes that may have spent their share after their last report.
+def _abrupt_exits(last_heartbeats: list[Heartbeat]) -> list[Heartbeat]:
+    """Return the ended processes that may have spent their share after their last heartbeat.
 
-    One that stopped in order has told all, and one without callers had no share.
+    A process that stopped gracefully has announced all that it spent, and a process without callers
+    had no share.
     """
-    return [report for report in ended if report.is_active and not report.is_leaving]
+    return [one for one in last_heartbeats if one.is_active and not one.is_leaving]
--- a/monsoonflow/gateway/handler.py
+++ b/monsoonflow/gateway/handler.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of one request: where it goes, whether again, what its caller is told."""
+"""Handles one request: chooses a server, retries failed attempts and answers the caller."""
 
 from __future__ import annotations
 
@@ -42,17 +42,18 @@
 from .request_log import RequestLog
 
 NOT_READY_RETRY_AFTER_MS: Final = 300
-"""When a caller may come back to a node that has no configuration yet: it usually has one then."""
+"""When a caller may retry at a node that has no configuration yet: it usually has one by then."""
 
 MIN_TIME_TO_SEND_MS: Final = 20
-"""With less time left no server is bothered."""
+"""A request with less time left is not sent to a server any more."""
 
 SAME_SERVER_PAUSE_MS: Final = 40
-"""A server that refused a request is not asked again sooner, about half of the work of one request:
-sent there every 2 ms, a few requests used up the retries of ninety nodes (490 of 454)."""
+"""How long a request is not sent again to a server that has refused it: about half the processing
+time of one request. Sent again every 2 ms, a few requests used up the retry budget of ninety nodes
+(490 retries where 454 were allowed)."""
 
 QUARANTINE_RETRY_AFTER_MS: Final = 60_000
-"""When a caller may come back with a request under which servers end: not soon."""
+"""When a caller may retry a quarantined request."""
 
 ANSWER_MARGIN_MS: Final = 15
 """How long before a request's time is over the answer is written, so that it arrives in time."""
@@ -61,7 +62,9 @@
 class Gateway:
     """Handles callers' requests.
 
-    :param table: returns the configuration in force, or ``None`` while there is none.
+    :param route_table: returns the configuration in force, or ``None`` while there is none.
+    :param plain_chooser: chooses servers of plain services.
+    :param runner_chooser: chooses model runners.
     """
 
     def __init__(
@@ -102,24 +105,26 @@
             self._send_own_answer(reply, None, 400, call.reason)
             return
         if not self.accepts_requests:
-            self._send_own_answer(reply, call, 503, "this node stops", NOT_READY_RETRY_AFTER_MS)
+            self._send_own_answer(
+                reply, call, 503, "this node is stopping", NOT_READY_RETRY_AFTER_MS
+            )
             return
-        table = self._route_table()
-        if table is None:
+        route_table = self._route_table()
+        if route_table is None:
             self._send_own_answer(
                 reply, call, 503, "no configuration yet", NOT_READY_RETRY_AFTER_MS
             )
             return
-        route = table.match(call.host, call.path)
+        route = route_table.match(call.host, call.path)
         if route is None:
             self._send_own_answer(reply, call, 404, "no route")
             return
-        service = table.service_by_name.get(route.choose_service(self._rng))
+        service = route_table.service_by_name.get(route.choose_service(self._rng))
         if service is None:
             self._send_own_answer(reply, call, 503, "unknown service", NOT_READY_RETRY_AFTER_MS)
             return
         job = self._create_job(request, call, route, service)
-        self._request_log.log_accepted(job, table.version)
+        self._request_log.log_accepted(job, route_table.version)
         self._retry_budget.record_request(service.name)
         try:
             self._serve(job, reply)
@@ -132,14 +137,25 @@
                 self._retry_budget.release_retry(service.name)
 
     def _create_job(self, request: Request, call: Call, route: Route, service: Service) -> Job:
-        waits_ms = call.deadline_ms if call.deadline_ms is not None else route.timeout_ms
-        deadline_at_ms = request.arrived_ms + waits_ms
-        until_ms = min(deadline_at_ms, request.arrived_ms + route.timeout_ms) - ANSWER_MARGIN_MS
-        since_ms = request.arrived_ms - self._typical_timeouts.estimate_waited_ms(
-            route.name, waits_ms
+        caller_timeout_ms = call.deadline_ms if call.deadline_ms is not None else route.timeout_ms
+        caller_deadline_ms = request.arrived_ms + caller_timeout_ms
+        answer_deadline_ms = (
+            min(caller_deadline_ms, request.arrived_ms + route.timeout_ms) - ANSWER_MARGIN_MS
+        )
+        first_tried_ms = request.arrived_ms - self._typical_timeouts.estimate_waited_ms(
+            route.name, caller_timeout_ms
+        )
+        content_id = fingerprint(request.method, call.host, request.target, request.body)
+        job = Job(
+            request,
+            call,
+            route,
+            service,
+            first_tried_ms,
+            answer_deadline_ms,
+            caller_deadline_ms,
+            content_id,
         )
-        same = fingerprint(request.method, call.host, request.target, request.body)
-        job = Job(request, call, route, service, since_ms, until_ms, deadline_at_ms, same)
         if route.kind is RouteKind.STREAM:
             job.splitter = EventSplitter(call.last_event_id)
         return job
@@ -157,7 +173,7 @@
             if isinstance(chosen, NoServer):
                 self._finish_unserved(job, reply, chosen.reason, chosen.retry_after_ms)
                 return
-            # A place is waited for for seconds: what others have found out meanwhile counts.
+            # Waiting for a slot may take seconds, in which peers may have quarantined the request.
             if self._refuse_if_quarantined(job, reply):
                 return
             sent_ms = self._clock.now_ms()
@@ -169,7 +185,7 @@
             turn = self._quarantine.acquire_turn(job.fingerprint, job.answer_deadline_ms - sent_ms)
             if turn is Turn.TIMED_OUT:
                 self._finish_unserved(
-                    job, reply, "others that are suspected go first", NOT_READY_RETRY_AFTER_MS
+                    job, reply, "other suspect requests go first", NOT_READY_RETRY_AFTER_MS
                 )
                 return
             job.holds_turn = turn is Turn.ACQUIRED
@@ -181,11 +197,11 @@
                 return
 
     def _refuse_if_quarantined(self, job: Job, reply: Reply) -> bool:
-        """Answer a request under which servers end, and tell whether it is one."""
+        """Refuse a quarantined request; return whether it is one."""
         if not self._quarantine.is_quarantined(job.fingerprint):
             return False
         self._finish_unserved(
-            job, reply, "servers end under this request", QUARANTINE_RETRY_AFTER_MS
+            job, reply, "servers crashed on this request", QUARANTINE_RETRY_AFTER_MS
         )
         return True
 
@@ -196,18 +212,18 @@
         sent_ms = self._clock.now_ms()
         job.tried_lives.append(chosen.life)
         job.headroom = None
-        onward = self._forwarded_request(job, chosen, sent_ms)
+        forwarded = self._forwarded_request(job, chosen, sent_ms)
         ticket = self._in_flight.begin(
             chosen.life,
             sent_ms,
             chosen.adapter,
             chosen.prefill_tokens,
             chosen.memory_tokens,
-            onward.rank,
+            forwarded.rank,
         )
         self._backlog.record_sent(chosen, sent_ms)
-        self._request_log.log_sent(job, chosen, onward)
-        offer = Attempt(
+        self._request_log.log_sent(job, chosen, forwarded)
+        attempt = Attempt(
             self._pools,
             self._dialect,
             job.request,
@@ -222,7 +238,9 @@
         )
         result: AttemptResult | None = None
         try:
-            result = offer.send(chosen, lambda: self._build_head(job, chosen), reply, job.splitter)
+            result = attempt.send(
+                chosen, lambda: self._build_head(job, chosen), reply, job.splitter
+            )
             return result
         finally:
             if result is None:
@@ -250,15 +268,16 @@
     def _response_deadline_ms(
         self, job: Job, chooser: ServerChooser, chosen: Chosen, now_ms: int
     ) -> int:
-        """Return until when a server must have given a sign.
+        """Return until when a server must have responded.
 
-        A server that hangs would use up all the time of a request that another could answer: one
-        that may run again is tried elsewhere once the server is far beyond its usual time.
+        A server that hangs would use up all the time of a request that another server could answer.
+        A request that may run again is therefore sent to another server when the first one has
+        taken far longer than is typical.
         """
-        until_ms = job.answer_deadline_ms if job.is_resuming() else job.cancel_at_ms()
+        deadline_ms = job.answer_deadline_ms if job.is_resuming() else job.cancel_at_ms()
         if not job.route.is_repeatable or job.possible_runs + 1 >= job.route.max_attempts:
-            return until_ms
-        return min(until_ms, now_ms + chooser.response_timeout_ms(chosen, job.route))
+            return deadline_ms
+        return min(deadline_ms, now_ms + chooser.response_timeout_ms(chosen, job.route))
 
     def _finish_attempt(
         self,
@@ -286,24 +305,24 @@
             self.first_event_estimator.record(job.call.prompt_tokens, took_ms)
 
     def _build_head(self, job: Job, chosen: Chosen) -> bytes:
-        onward = self._forwarded_request(job, chosen, self._clock.now_ms())
-        return self._dialect.forwarded_head(job.request, onward)
+        forwarded = self._forwarded_request(job, chosen, self._clock.now_ms())
+        return self._dialect.forwarded_head(job.request, forwarded)
 
     def _forwarded_request(self, job: Job, chosen: Chosen, now_ms: int) -> ForwardedRequest:
-        engine = job.service.engine is not None
-        last_event = job.splitter.last_event_id if job.splitter is not None else None
+        is_runner = job.service.engine is not None
+        last_event_id = job.splitter.last_event_id if job.splitter is not None else None
         return ForwardedRequest(
             remaining_ms=max(1, job.caller_deadline_ms - now_ms),
             life=chosen.life,
-            rank=job.rank_at(now_ms) if engine else None,
+            rank=job.rank_at(now_ms) if is_runner else None,
             expect_version=chosen.expect_version,
-            last_event_id=last_event,
+            last_event_id=last_event_id,
         )
 
     def _handle_result(
         self, job: Job, reply: Reply, chosen: Chosen, result: AttemptResult, took_ms: int
     ) -> bool:
-        """Answer the caller, or tell that another try follows."""
+        """Answer the caller and return ``True``, or return ``False`` if another attempt follows."""
         self._update_quarantine(job, chosen, result)
         match result:
             case Passed():
@@ -321,15 +340,15 @@
                 return self._handle_unsent(job, reply, chosen, reason, took_ms)
             case Recalled():
                 job.possible_runs += 1
-                reason = "a newer version of its adapter is named"
-                return self._retry_or_finish(job, reply, chosen, reason, took_ms, ran=True)
+                reason = "a newer version of its adapter was requested"
+                return self._retry_or_finish(job, reply, chosen, reason, took_ms, may_have_run=True)
             case Unclear(reason=reason) | Cut(reason=reason):
                 job.avoided_lives.append(chosen.life)
                 job.possible_runs += 1
-                return self._retry_or_finish(job, reply, chosen, reason, took_ms, ran=True)
+                return self._retry_or_finish(job, reply, chosen, reason, took_ms, may_have_run=True)
 
     def _update_quarantine(self, job: Job, chosen: Chosen, result: AttemptResult) -> None:
-        """Take what a try tells of its request and of its server's life."""
+        """Record what a result shows about the request and about whether its server crashed."""
         match result:
             case Passed():
                 self._quarantine.record_completed(job.fingerprint)
@@ -352,16 +371,18 @@
             self._finish_unserved(job, reply, reason, NOT_READY_RETRY_AFTER_MS)
             return True
         if job.answer_deadline_ms - now_ms >= MIN_TIME_TO_SEND_MS:
-            return self._retry_or_finish(job, reply, chosen, "hangs", took_ms, ran=True)
+            return self._retry_or_finish(
+                job, reply, chosen, "server unresponsive", took_ms, may_have_run=True
+            )
         self._finish_timed_out(job, reply)
         return True
 
     def _handle_rejected(
         self, job: Job, reply: Reply, chosen: Chosen, result: Rejected, took_ms: int
     ) -> bool:
-        # A runner that lacks what its holder believes it has is asked once more, since the load may
-        # have just ended; asked again and again it would use up the retry budget of the whole fleet
-        # within 0.2 s (41 tries of one request).
+        # A runner that lacks an adapter that the lease holder believes it holds is tried once more,
+        # since the load may have just finished. Without a limit, one request used 41 attempts and
+        # with them the retry budget of all nodes within 0.2 s.
         if not result.misrouted or job.tried_lives.count(chosen.life) > 1:
             job.avoided_lives.append(chosen.life)
         if not result.misrouted:
@@ -369,16 +390,16 @@
         job.retry_after_ms = result.retry_after_ms or job.retry_after_ms
         reason = result.reason
         self._request_log.log_refused(job, chosen, reason, result.misrouted, result.retry_after_ms)
-        return self._retry_or_finish(job, reply, chosen, reason, took_ms, ran=False)
+        return self._retry_or_finish(job, reply, chosen, reason, took_ms, may_have_run=False)
 
     def _handle_unsent(
         self, job: Job, reply: Reply, chosen: Chosen, reason: str, took_ms: int
     ) -> bool:
-        # Nothing has arrived, so nothing is counted where the budget is kept. The second time at
-        # one server costs a retry all the same: tries would go from port to port without end.
+        # Nothing has reached a server, so the first time at each server costs no retry. A second
+        # time does, because otherwise attempts would go from server to server without end.
         if chosen.life in job.avoided_lives:
             self._use_reserved_retry(job)
-            return self._retry_or_finish(job, reply, chosen, reason, took_ms, ran=False)
+            return self._retry_or_finish(job, reply, chosen, reason, took_ms, may_have_run=False)
         job.avoided_lives.append(chosen.life)
         self._request_log.log_failed(job, chosen, reason, True, took_ms)
         return False
@@ -387,20 +408,23 @@
         self, job: Job, reply: Reply, chosen: Chosen, result: Whole, took_ms: int
     ) -> bool:
         status = result.head.status
-        unclear = status in NOT_RUN_STATUSES
-        if status >= 500 or unclear:
+        is_unclear = status in NOT_RUN_STATUSES
+        if status >= 500 or is_unclear:
             job.possible_runs += 1
             job.avoided_lives.append(chosen.life)
-            again = self._may_retry(job, ran=True)
-            self._request_log.log_failed(job, chosen, f"status {status}", again, took_ms)
-            if again:
+            will_retry = self._may_retry(job, may_have_run=True)
+            self._request_log.log_failed(job, chosen, f"status {status}", will_retry, took_ms)
+            if will_retry:
                 return False
         if reply.started:
             self._request_log.log_ended(job, reply, "cut", f"status {status} while resuming")
-        elif unclear:
-            # The server does not say that nothing ran; passed on, its status would promise it.
+        elif is_unclear:
+            # Such a status promises the caller that the request was not run, but the server has not
+            # stated that, so the status must not be forwarded.
             self._send_own_answer(reply, job.call, 502, f"server's status {status}")
-            self._request_log.log_ended(job, reply, "failed", f"status {status} without the word")
+            self._request_log.log_ended(
+                job, reply, "failed", f"status {status} without the not-run header"
+            )
         else:
             headers = self._dialect.forwarded_headers(result.head)
             reply.whole(status, headers, result.body, result.head.reason)
@@ -411,19 +435,20 @@
         return True
 
     def _retry_or_finish(
-        self, job: Job, reply: Reply, chosen: Chosen, reason: str, took_ms: int, ran: bool
+        self, job: Job, reply: Reply, chosen: Chosen, reason: str, took_ms: int, may_have_run: bool
     ) -> bool:
-        again = self._may_retry(job, ran)
-        self._request_log.log_failed(job, chosen, reason, again, took_ms)
-        if again:
+        will_retry = self._may_retry(job, may_have_run)
+        self._request_log.log_failed(job, chosen, reason, will_retry, took_ms)
+        if will_retry:
             if job.is_resuming():
                 self._request_log.count_resume()
             return False
         self._finish_unserved(job, reply, reason, job.retry_after_ms or NOT_READY_RETRY_AFTER_MS)
         return True
 
-    def _may_retry(self, job: Job, ran: bool) -> bool:
-        if ran and not job.may_run_again():
+    def _may_retry(self, job: Job, may_have_run: bool) -> bool:
+        """Return whether another attempt may follow, and reserve a retry for it if so."""
+        if may_have_run and not job.may_run_again():
             return False
         if job.answer_deadline_ms - self._clock.now_ms() < MIN_TIME_TO_SEND_MS:
             return False
@@ -434,15 +459,15 @@
 
     def _finish_timed_out(self, job: Job, reply: Reply) -> None:
         if job.may_have_run and not reply.started:
-            self._send_own_answer(reply, job.call, 504, "time over")
-            self._request_log.log_ended(job, reply, "failed", "time over")
+            self._send_own_answer(reply, job.call, 504, "timed out")
+            self._request_log.log_ended(job, reply, "failed", "timed out")
             return
-        self._finish_unserved(job, reply, "time over", NOT_READY_RETRY_AFTER_MS)
+        self._finish_unserved(job, reply, "timed out", NOT_READY_RETRY_AFTER_MS)
 
     def _finish_unserved(self, job: Job, reply: Reply, reason: str, retry_after_ms: int) -> None:
-        """Answer at once what can't be served; where nothing ran, with a time to come back."""
+        """Answer a request that can't be served, with the time of a retry if nothing ran."""
         if reply.started:
-            # The caller's connection ends without the answer's proper end: it sees the cut.
+            # The caller's connection closes before the end of the answer, so the caller notices.
             self._request_log.log_ended(job, reply, "cut", reason)
             return
         status = 502 if job.may_have_run else 503
--- a/monsoonflow/gateway/job.py
+++ b/monsoonflow/gateway/job.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through this node."""
+"""The state of a caller's request while this node handles it."""
 
 from __future__ import annotations
 
@@ -13,31 +13,41 @@
 from .models import Call
 
 LATE_RANK_PENALTY: Final = 5
-"""How many ranks a request falls back at a runner once its latency objective has passed."""
+"""Added to a request's rank at a runner once its latency objective has passed."""
 
 MAX_RANK: Final = 9
+"""The last rank that a request can have at a runner."""
 
 CANCEL_BEFORE_CALLER_LEAVES_MS: Final = 700
-"""So long before its caller leaves a request without a first event is given up. A runner that reads
-long prompts slowly looks at its connections every 0.75 s: told at the caller's leave, it is at work
-for nobody a while after. Of 294 that had waited so long on a loaded day, 172 got nothing more."""
+"""How long before its caller leaves a request without a first event is cancelled. A runner that
+processes long prompts slowly checks its connections only every 0.75 s, so a request cancelled when
+the caller leaves keeps the runner busy for nobody. Of 294 requests that had waited this long on a
+loaded day, 172 never got a first event."""
 
 
 @attrs.define(slots=True)
 class Job:
-    """One request of a caller on its way through this node.
-
-    :param since_ms: when its caller began to try, as far as that can be told.
-    :param until_ms: when it must be answered.
-    :param fingerprint: the same for all requests that ask for the same.
-    :param tried: the servers that it was sent to, in order.
-    :param avoided: the servers that refused it, broke off or could not be reached.
-    :param refused_ms_by_life: when a server last refused it unrun, though it holds what it needs.
-    :param runs: how many tries may have run on a server.
-    :param headroom: what the retry budget said last; ``None`` where it was not asked.
-    :param turn_held: whether other suspected requests wait until its try has ended.
-    :param retry_granted: whether the budget keeps a place for its next try.
-    :param first_ms: when the first part of the answer came.
+    """The state of a caller's request while this node handles it.
+
+    All times are on this node's clock.
+
+    :param first_tried_ms: when the caller probably sent the request for the first time, here or to
+        another node.
+    :param answer_deadline_ms: when this node must have answered.
+    :param caller_deadline_ms: when the caller's own deadline ends.
+    :param fingerprint: identical for all requests with the same content.
+    :param tried_lives: the servers that it was sent to, in order.
+    :param avoided_lives: the servers that refused it, broke off or could not be reached.
+    :param possible_runs: the number of attempts that may have run on a server.
+    :param refused_ms_by_life: when each server last refused to run it, although the server has the
+        adapter that it needs.
+    :param retry_after_ms: the delay before a retry that a server asked for last.
+    :param splitter: splits the answer into events; ``None`` unless the route is a stream.
+    :param headroom: the retry budget's last decision; ``None`` if it was not asked since the last
+        attempt.
+    :param holds_turn: whether other suspect requests wait until its attempt has ended.
+    :param has_reserved_retry: whether one retry of the budget is reserved for its next attempt.
+    :param first_event_ms: when the first part of the answer arrived.
     """
 
     request: Request
@@ -61,17 +71,17 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether a try may have run on a server."""
+        """Return whether an attempt may have run on a server."""
         return self.possible_runs > 0
 
     def objective_deadline_ms(self) -> int:
-        """Return until when the first event meets the route's latency objective."""
+        """Return the time until which a first event meets the route's latency objective."""
         return self.first_tried_ms + self.route.objective_ms
 
     def first_event_deadline_ms(self) -> int:
-        """Return until when the first event must be there: then its caller leaves.
+        """Return when the caller leaves if it has not received the first event.
 
-        Callers of a stream leave long before their deadline when nothing comes.
+        Callers of a stream leave long before their deadline if nothing arrives.
         """
         if self.route.first_event_timeout_ms is None:
             return self.answer_deadline_ms
@@ -80,27 +90,31 @@
         )
 
     def cancel_at_ms(self) -> int:
-        """Return when the request is given up where its first event has not come by then."""
+        """Return when the request is cancelled if its first event has not arrived."""
         leaves_ms = self.first_event_deadline_ms()
         if self.route.first_event_timeout_ms is None or leaves_ms >= self.answer_deadline_ms:
             return self.answer_deadline_ms
         return leaves_ms - CANCEL_BEFORE_CALLER_LEAVES_MS
 
     def rank_at(self, now_ms: int) -> int:
-        """Return the rank at a runner, 0 first.
+        """Return the rank at a runner, which processes rank 0 first.
 
-        Who is late already goes behind who can still be on time: in the order of arrival a backlog
-        would make all of them late. Who has had a part of its answer goes first.
+        Requests that are already late rank behind those that can still meet their objective. In
+        order of arrival, a backlog would make all of them late. A request whose caller has received
+        a part of the answer ranks first.
         """
         if self.is_resuming():
             return 0
-        late = now_ms > self.objective_deadline_ms()
-        return min(self.route.priority + (LATE_RANK_PENALTY if late else 0), MAX_RANK)
+        is_late = now_ms > self.objective_deadline_ms()
+        return min(self.route.priority + (LATE_RANK_PENALTY if is_late else 0), MAX_RANK)
 
     def is_resuming(self) -> bool:
-        """Tell whether parts of the answer have been passed on."""
+        """Return whether parts of the answer have been forwarded to the caller."""
         return self.splitter is not None and self.splitter.event_count > 0
 
     def may_run_again(self) -> bool:
-        """Tell whether another server may run it, by its kind and the route's attempts."""
+        """Return whether another server may run it.
+
+        That is so if the route's requests are repeatable and the route allows another attempt.
+        """
         return self.route.is_repeatable and self.possible_runs < self.route.max_attempts
--- a/monsoonflow/gateway/models.py
+++ b/monsoonflow/gateway/models.py
@@ -1,4 +1,4 @@
-"""Data of a request on its way, and tagged outcomes of its tries."""
+"""Data of a request that is being handled, and the possible results of its attempts."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 
 @attrs.frozen(slots=True)
 class Call:
-    """What a caller says of its request.
-
-    :param request_id: of this try of the caller.
-    :param deadline_ms: how long the caller waits, from its request's arrival.
-    :param model: the base model; ``adapter`` the adapter beside it.
-    :param prompt_tokens: to be read; ``output_tokens`` the most that are made.
-    :param length_hint: the caller's guess of the tokens made.
-    :param session: the last shared part of the prompt.
-    :param last_event: where a stream goes on.
+    """The parameters that a caller gives with its request.
+
+    :param request_id: identifies the request; a caller that retries uses another one.
+    :param deadline_ms: how long the caller waits, from the arrival of its request.
+    :param model: the base model.
+    :param adapter: the adapter on top of the base model.
+    :param prompt_tokens: length of the prompt.
+    :param max_output_tokens: the most tokens that may be generated.
+    :param length_hint: the caller's estimate of the number of generated tokens.
+    :param session: identifies the last shared part of the prompt.
+    :param last_event_id: the event after which a stream is resumed.
     """
 
     request_id: str
@@ -39,19 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """A request whose words can't be understood."""
+    """A request that can't be parsed."""
 
     reason: str
 
 
 @attrs.frozen(slots=True)
 class ForwardedRequest:
-    """What this node says of a request to a server.
-
-    :param left_ms: how long the server may work.
-    :param life: the life of the server that is meant; another refuses.
-    :param expect_version: the adapter's version that must answer.
-    :param last_event: where a stream goes on.
+    """The parameters that this node gives a server with a request.
+
+    :param remaining_ms: how long the server may work.
+    :param life: the server that is meant; any other server refuses the request.
+    :param rank: the rank of the request in a runner's queue, 0 first; ``None`` at servers of plain
+        services.
+    :param expect_version: the adapter version that must answer.
+    :param last_event_id: the event after which a stream is resumed.
     """
 
     remaining_ms: int
@@ -63,11 +67,12 @@
 
 @attrs.frozen(slots=True)
 class AnswerTerms:
-    """What a server says of its answer.
+    """What the head of an answer says about the answer.
 
     :param request_id: the request that it answers.
-    :param stamped: whether it carries the server's signature.
-    :param not_run: whether the server says that nothing ran.
+    :param is_signed: whether it carries the server's signature.
+    :param not_run: whether the server states that the request was not run.
+    :param retry_after_ms: the delay before a retry that the server asks for.
     """
 
     request_id: str | None
@@ -77,27 +82,27 @@
 
 
 class Dialect(Protocol):
-    """Translates between the wire and the product's words."""
+    """Translates between headers on the wire and this package's models."""
 
     def read_call(self, request: Request) -> Call | Malformed:
-        """Return what a caller says of its request."""
+        """Return the parameters that a caller gives with its request."""
 
     def forwarded_head(self, request: Request, forwarded: ForwardedRequest) -> bytes:
-        """Return the head of the request to a server."""
+        """Return the encoded head of the request that is sent to a server."""
 
     def read_answer(self, head: AnswerHead) -> AnswerTerms:
-        """Return what a server says of its answer."""
+        """Return what the head of an answer says about the answer."""
 
     def forwarded_headers(self, head: AnswerHead) -> list[Header]:
-        """Return the headers of an answer that go on to the caller."""
+        """Return the headers of a server's answer that are forwarded to the caller."""
 
     def own_answer_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
-        """Return the headers of an answer of this node's own."""
+        """Return the headers of an answer that this node generates itself."""
 
 
 @dataclass(frozen=True, slots=True)
 class Whole:
-    """A server's whole answer."""
+    """The server's complete answer, not yet forwarded to the caller."""
 
     head: AnswerHead
     terms: AnswerTerms
@@ -106,9 +111,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsent:
-    """Nothing reached the server.
+    """Nothing was sent to the server.
 
-    :param refused: its port refused the connection.
+    :param connection_refused: its port refused the connection.
     """
 
     reason: str
@@ -117,9 +122,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The server says that it did not run the request.
+    """The server stated that it did not run the request.
 
-    :param moved: it is another server, or does not hold what the request needs.
+    :param misrouted: it is another server than expected, or lacks the adapter version that the
+        request needs.
     """
 
     reason: str
@@ -131,7 +137,7 @@
 class Unclear:
     """The request was sent, and may or may not have run.
 
-    :param silent: the server gave no sign at all.
+    :param silent: the server sent nothing at all.
     """
 
     reason: str
@@ -140,9 +146,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedOut:
-    """The time that the request had is over while the server was at work.
+    """The request's time was over before the server had answered.
 
-    :param silent: the server gave no sign at all.
+    :param silent: the server sent nothing at all.
     """
 
     silent: bool = False
@@ -150,9 +156,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """The caller left; that says something of the server only when it never gave a sign.
+    """The caller left, which counts against the server only if it had sent nothing for long.
 
-    :param silent: the server gave no sign at all.
+    :param silent: the server sent nothing at all.
     """
 
     silent: bool = False
@@ -160,17 +166,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Recalled:
-    """The request was taken back while it waited at the server, for an old version."""
+    """The request was cancelled while it waited at the server for an outdated adapter version."""
 
 
 @dataclass(frozen=True, slots=True)
 class Passed:
-    """The whole answer has been passed on while it came in."""
+    """The complete answer was forwarded to the caller while it arrived."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """An answer broke off after parts of it had been passed on."""
+    """The answer broke off after parts of it had been forwarded to the caller.
+
+    :param silent: the server sent nothing at all in this attempt.
+    """
 
     reason: str
     silent: bool = False
@@ -183,10 +192,10 @@
 
 @attrs.frozen(slots=True)
 class QueueAhead:
-    """What a request waits for at a model runner.
+    """The queue in front of a request at a model runner.
 
-    :param unread_tokens: prompt tokens that are read before its own.
-    :param expect_ms: time until its first event.
+    :param pending_prefill_tokens: prompt tokens that the runner processes before the request's own.
+    :param expected_ms: expected time until the request's first event.
     """
 
     pending_prefill_tokens: int
@@ -197,10 +206,12 @@
 class Chosen:
     """The server that a request is sent to.
 
-    :param version: of the adapter that the server is known to hold.
-    :param expect_version: the version without which the server shall refuse.
-    :param unread_tokens: that the request itself adds to what is to be read there.
-    :param queue: what is before it there; ``None`` at servers of plain services.
+    :param version: the adapter version that the server is known to hold.
+    :param prefill_tokens: prompt tokens that the request adds to the server's pending prefill.
+    :param memory_tokens: KV cache that the request may need.
+    :param expect_version: the version without which the server must refuse the request.
+    :param why: why the server was chosen, for the log.
+    :param queue: the queue in front of the request; ``None`` at servers of plain services.
     """
 
     life: ServerLife
@@ -216,9 +227,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NoServer:
-    """No server can take the request within its time.
+    """No server can handle the request in time.
 
-    :param retry_after_ms: when to come back.
+    :param retry_after_ms: the delay before the caller should retry.
     """
 
     reason: str
--- a/monsoonflow/gateway/plain_server_chooser.py
+++ b/monsoonflow/gateway/plain_server_chooser.py
@@ -1,4 +1,4 @@
-"""Chooses among the servers of a plain service."""
+"""Chooses among the servers of a plain service, which has no model runners."""
 
 from __future__ import annotations
 
@@ -28,31 +28,32 @@
 )
 
 TYPICAL_ANSWER_MS: Final = 80.0
-"""Time of an answer while none was seen yet."""
+"""Assumed time of an answer from a server that has not answered yet."""
 
 MIN_SUCCESS_SHARE: Final = 0.1
-"""A failing server keeps this share of its weight, so that its recovery is noticed."""
+"""Lowest success share that is assumed of a failing server: it still gets a few requests, so that
+its recovery is noticed."""
 
 RESPONSE_TIMEOUT_FACTOR: Final = 5
 MIN_RESPONSE_TIMEOUT_MS: Final = 300
-"""A server seems to hang after so many of its usual times, and never sooner than this: the longest
-of a hundred answers takes some five times the usual one."""
+"""A server counts as unresponsive to one request after this many times its typical answer time, but
+not before the minimum. The slowest of a hundred answers takes about five times the typical time."""
 
 UNRESPONSIVE_FACTOR: Final = 2
-"""A server gives no sign of life at all when none comes for so many times its patience: one that
-has turned slow still answers somebody."""
+"""A server counts as unresponsive to all requests if it has answered none of them within this many
+response timeouts. A server that has only become slow still answers some of them."""
 
 NO_SERVER_RETRY_AFTER_MS: Final = 400
 QUEUE_RETRY_AFTER_SHARE: Final = 0.5
-"""Come back after half of the expected wait: the queue drains meanwhile."""
+"""A caller may retry after this share of the expected wait, because the queue drains meanwhile."""
 
 
 @attrs.define(slots=True)
 class PlainServerChooser:
-    """Picks the server whose answer is expected first, by what all nodes have in progress there.
+    """Chooses the server that is expected to answer first, given what all nodes have in progress.
 
-    Health answers are not asked for: a server that fails requests may call itself healthy. How its
-    requests end tells.
+    The results of requests decide about a server's health. There are no health checks: a server
+    that fails requests may still report itself as healthy.
     """
 
     registry: ServerRegistry
@@ -65,16 +66,16 @@
     def choose(
         self, call: Call, route: Route, service: Service, job: Job, now_ms: int
     ) -> Chosen | NoServer:
-        """Return the server with the least expected time to a good answer."""
+        """Return the server with the shortest expected time to a successful answer."""
         servers = self.registry.servers_of(service.name)
-        reached = [s for s in servers if not self.health.is_paused(s.life, now_ms)]
-        fresh = [s for s in reached or servers if s.life not in job.tried_lives]
-        candidates = fresh or [s for s in servers if s.life not in job.avoided_lives] or servers
+        reachable = [s for s in servers if not self.health.is_paused(s.life, now_ms)]
+        untried = [s for s in reachable or servers if s.life not in job.tried_lives]
+        candidates = untried or [s for s in servers if s.life not in job.avoided_lives] or servers
         if not candidates:
             return NoServer("no server takes work", job.retry_after_ms or NO_SERVER_RETRY_AFTER_MS)
-        costs = {s.life: self._expected_ms(s, now_ms) for s in candidates}
-        best = min(candidates, key=lambda s: (costs[s.life], self.rng.random()))
-        expected_ms = costs[best.life]
+        expected_ms_by_life = {s.life: self._expected_ms(s, now_ms) for s in candidates}
+        best = min(candidates, key=lambda s: (expected_ms_by_life[s.life], self.rng.random()))
+        expected_ms = expected_ms_by_life[best.life]
         if expected_ms > 2 * (job.answer_deadline_ms - now_ms) and self._is_full(best, now_ms):
             return NoServer(
                 "the queue is longer than the time left",
@@ -83,31 +84,31 @@
         return Chosen(best.life, best.address, why=f"expected_ms={expected_ms:.0f}")
 
     def response_timeout_ms(self, chosen: Chosen, route: Route) -> int:
-        """Return how long a server may take before it seems to hang."""
-        usual_ms = self.health.latency_ms(chosen.life, TYPICAL_ANSWER_MS)
-        return max(MIN_RESPONSE_TIMEOUT_MS, int(usual_ms * RESPONSE_TIMEOUT_FACTOR))
+        """Return how long a server may take to respond before it counts as unresponsive."""
+        typical_ms = self.health.latency_ms(chosen.life, TYPICAL_ANSWER_MS)
+        return max(MIN_RESPONSE_TIMEOUT_MS, int(typical_ms * RESPONSE_TIMEOUT_FACTOR))
 
     def start_deadline_ms(self, chosen: Chosen) -> int | None:
-        """Return ``None``: a plain service has no versions."""
+        """Return ``None``: a plain service has no adapter versions."""
         return None
 
     def may_send(self, chosen: Chosen) -> bool:
-        """Tell whether a server that was chosen still takes work."""
+        """Return whether a server that was chosen still accepts requests."""
         return self.registry.is_accepting_work(chosen.life)
 
     def record_sent(self, chosen: Chosen, request_id: str, route: Route, now_ms: int) -> None:
-        """Take that a request goes out to its server."""
-        sign_within_ms = UNRESPONSIVE_FACTOR * self.response_timeout_ms(chosen, route)
-        self.health.record_sent(chosen.life, request_id, now_ms, sign_within_ms)
+        """Record that a request is being sent to its server."""
+        respond_within_ms = UNRESPONSIVE_FACTOR * self.response_timeout_ms(chosen, route)
+        self.health.record_sent(chosen.life, request_id, now_ms, respond_within_ms)
 
     def record_activity(self, chosen: Chosen, now_ms: int) -> None:
-        """Take a part of an answer of a server."""
+        """Record that a server sent a part of an answer."""
         self.health.record_response(chosen.life, now_ms)
 
     def record_result(
         self, chosen: Chosen, request_id: str, result: AttemptResult, took_ms: int, now_ms: int
     ) -> None:
-        """Take how a try ended."""
+        """Record how an attempt ended."""
         self.health.record_finished(chosen.life, request_id, now_ms)
         match result:
             case Whole(head=head):
@@ -120,13 +121,14 @@
                 self.health.record_result(chosen.life, False, took_ms, now_ms)
 
     def _expected_ms(self, server: BackendServer, now_ms: int) -> float:
-        busy = self._requests_in_progress(server, now_ms)
-        rounds = max(1.0, (busy + 1) / max(1, server.max_concurrent_requests))
-        usual_ms = self.health.latency_ms(server.life, TYPICAL_ANSWER_MS)
-        success = 1.0 - self.health.failure_share(server.life, now_ms)
-        # The share of a server that is not full also counts a little, so that equal servers share.
-        crowd = 1.0 + 0.1 * busy / max(1, server.max_concurrent_requests)
-        return usual_ms * rounds * crowd / max(MIN_SUCCESS_SHARE, success) ** 2
+        in_progress = self._requests_in_progress(server, now_ms)
+        rounds = max(1.0, (in_progress + 1) / max(1, server.max_concurrent_requests))
+        typical_ms = self.health.latency_ms(server.life, TYPICAL_ANSWER_MS)
+        success_share = 1.0 - self.health.failure_share(server.life, now_ms)
+        # The utilisation counts a little even below the limit, so that equal servers share the
+        # load.
+        utilisation_factor = 1.0 + 0.1 * in_progress / max(1, server.max_concurrent_requests)
+        return typical_ms * rounds * utilisation_factor / max(MIN_SUCCESS_SHARE, success_share) ** 2
 
     def _requests_in_progress(self, server: BackendServer, now_ms: int) -> int:
         own = self.in_flight.work_at(server.life).requests
--- a/monsoonflow/gateway/protocols.py
+++ b/monsoonflow/gateway/protocols.py
@@ -1,4 +1,4 @@
-"""What the handling of a request needs of the rest of the node."""
+"""The interfaces through which request handling uses the rest of the node."""
 
 from __future__ import annotations
 
@@ -18,62 +18,62 @@
     def choose(
         self, call: Call, route: Route, service: Service, job: Job, now_ms: int
     ) -> Chosen | NoServer:
-        """Return a server; may wait for one."""
+        """Return a server for the request; may wait until one is available."""
 
     def response_timeout_ms(self, chosen: Chosen, route: Route) -> int:
-        """Return how long a server may take before it seems to hang."""
+        """Return how long a server may take to respond before it counts as unresponsive."""
 
     def start_deadline_ms(self, chosen: Chosen) -> int | None:
-        """Return until when a request may begin where it was sent; ``None`` without a bound."""
+        """Return until when the request may begin at the server; ``None`` without a limit."""
 
     def may_send(self, chosen: Chosen) -> bool:
-        """Tell whether a server that was chosen still takes work."""
+        """Return whether a server that was chosen still accepts requests."""
 
     def record_sent(self, chosen: Chosen, request_id: str, route: Route, now_ms: int) -> None:
-        """Take that a request goes out to its server."""
+        """Record that a request is being sent to its server."""
 
     def record_activity(self, chosen: Chosen, now_ms: int) -> None:
-        """Take a part of an answer of a server."""
+        """Record that a server sent a part of an answer."""
 
     def record_result(
         self, chosen: Chosen, request_id: str, result: AttemptResult, took_ms: int, now_ms: int
     ) -> None:
-        """Take how a try ended."""
+        """Record how an attempt ended."""
 
 
 class RetryBudget(Protocol):
-    """Counts requests and retries over the fleet."""
+    """Limits the retries of all nodes together, by service."""
 
     def record_request(self, service: str) -> None:
-        """Count a request for a service."""
+        """Count a caller's request for a service."""
 
     def reserve_retry(self, service: str) -> Headroom:
-        """Return whether the budget allows one more arrival, and keep a place for it if so."""
+        """Return whether the budget allows one more retry, and reserve it if so."""
 
     def record_retry_sent(self, service: str) -> None:
-        """Count a further try that was allowed: it goes to a server now."""
+        """Count a reserved retry that is sent to a server now."""
 
     def release_retry(self, service: str) -> None:
-        """Give back a further try that was allowed and will not be sent."""
+        """Give back a reserved retry that will not be sent."""
 
 
 class Quarantine(Protocol):
-    """Knows the requests under which servers end."""
+    """Keeps requests that crash servers away from all servers."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Tell whether a request must reach no server."""
+        """Return whether a request must not be sent to any server."""
 
     def acquire_turn(self, fingerprint: str, timeout_ms: int) -> Turn:
         """Wait until a request may be sent."""
 
     def release_turn(self) -> None:
-        """Let the next suspect go."""
+        """Let the next suspect request be sent."""
 
     def record_broken_connection(self, fingerprint: str, life: ServerLife, address: str) -> None:
-        """Take that a server's connection broke while it had a request."""
+        """Record that a connection to a server broke while the server had a request."""
 
     def record_server_crash(self, life: ServerLife) -> None:
-        """Take that a server's port refuses connections."""
+        """Record that a server's port refuses connections."""
 
     def record_completed(self, fingerprint: str) -> None:
-        """Take that a server has answered a request whole."""
+        """Record that a server has answered a request completely."""
--- a/monsoonflow/gateway/request_log.py
+++ b/monsoonflow/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""Tells what becomes of requests: log lines and metrics, in one place."""
+"""Writes the log lines and counts the metrics of requests."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 _LOGGER = logging.getLogger(__name__)
 SAMPLED_OUTCOMES: Final = frozenset({"refused"})
-"""Outcomes that repeat at overload; all others are always written."""
+"""Outcomes whose log lines are sampled, since they repeat at overload; others are always logged."""
 
 SUCCESSFUL_OUTCOMES: Final = frozenset({"answered", "passed"})
 
 
 class RequestMetrics(Protocol):
-    """What is counted of requests."""
+    """The metrics of requests."""
 
     def count_request(
         self,
@@ -33,22 +33,23 @@
         first_ms: int | None,
         took_ms: int,
     ) -> None:
-        """Count a request's end."""
+        """Count a request that has ended."""
 
     def count_attempt(self, result: str) -> None:
-        """Count a try at a server."""
+        """Count an attempt at a server by its result."""
 
     def count_retry(self, allowed: bool) -> None:
-        """Count a wish to try again."""
+        """Count a retry that was needed, by whether the budget allowed it."""
 
     def count_resume(self) -> None:
-        """Count a stream that goes on elsewhere."""
+        """Count a stream that is resumed at another server."""
 
 
 class RequestLog:
-    """Writes down the decisions about requests.
+    """Logs and counts what happens to requests.
 
-    :param servers_age_ms: returns how long ago the store last told of servers.
+    :param servers_age_ms: returns how long ago the store last answered about servers; ``None`` if
+        it never did.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self._sampler = Sampler()
 
     def log_accepted(self, job: Job, config_version: int) -> None:
-        """Note that a request has a route."""
+        """Log that a request was accepted for a route."""
         call, route = job.call, job.route
         log(
             _LOGGER,
@@ -82,8 +83,8 @@
         )
 
     def log_sent(self, job: Job, chosen: Chosen, forwarded: ForwardedRequest) -> None:
-        """Note that a request goes to a server."""
-        after = forwarded.last_event_id
+        """Log that a request is being sent to a server."""
+        last_event_id = forwarded.last_event_id
         queue = chosen.queue
         log(
             _LOGGER,
@@ -98,7 +99,7 @@
                 expect_version=forwarded.expect_version,
                 unread_tokens=queue.pending_prefill_tokens if queue is not None else None,
                 expected_ms=queue.expected_ms if queue is not None else None,
-                after_event=after.decode("latin-1") if after is not None else None,
+                after_event=last_event_id.decode("latin-1") if last_event_id is not None else None,
                 servers_age_ms=self._servers_age_ms(),
             ),
         )
@@ -106,7 +107,7 @@
     def log_refused(
         self, job: Job, chosen: Chosen, cause: str, misrouted: bool, retry_after_ms: int | None
     ) -> None:
-        """Note that a server did not run a request."""
+        """Log that a server refused to run a request."""
         log(
             _LOGGER,
             events.ServerRefused(
@@ -117,7 +118,7 @@
     def log_failed(
         self, job: Job, chosen: Chosen, cause: str, will_retry: bool, took_ms: int
     ) -> None:
-        """Note that a try did not end well."""
+        """Log that an attempt failed."""
         headroom = job.headroom
         log(
             _LOGGER,
@@ -134,19 +135,19 @@
         )
 
     def count_attempt(self, result: AttemptResult) -> None:
-        """Count a try."""
+        """Count an attempt by its result."""
         self._metrics.count_attempt(type(result).__name__.lower())
 
     def count_retry(self, allowed: bool) -> None:
-        """Count a wish to try again."""
+        """Count a retry that was needed, by whether the budget allowed it."""
         self._metrics.count_retry(allowed)
 
     def count_resume(self) -> None:
-        """Count a stream that goes on elsewhere."""
+        """Count a stream that is resumed at another server."""
         self._metrics.count_resume()
 
     def log_ended(self, job: Job, reply: Reply, outcome: str, cause: str | None = None) -> None:
-        """Note that a request's story here is over."""
+        """Log and count that a request has ended on this node."""
         now_ms = self._clock.now_ms()
         took_ms = now_ms - job.request.arrived_ms
         first_ms = (
--- a/monsoonflow/gateway/runner_chooser.py
+++ b/monsoonflow/gateway/runner_chooser.py
@@ -1,4 +1,4 @@
-"""Chooses among model runners: by who holds the adapter and how much is waiting there."""
+"""Chooses a model runner, by which runners hold the adapter and how long their queues are."""
 
 from __future__ import annotations
 
@@ -33,24 +33,27 @@
 
 NO_SERVER_RETRY_AFTER_MS: Final = 400
 UNBOUNDED_MS: Final = 3_600_000
+"""Stands for no timeout: longer than any request may take."""
+
 MIN_BACKLOG_TOKENS: Final = 10_000
-"""Prompt tokens ahead, some half a second of reading, from which a late first event is expected."""
+"""Pending prefill, about 0.5 s of processing, above which a late first event is normal."""
 
 RESPONSE_TIMEOUT_OBJECTIVES: Final = 2
-"""A runner without a backlog seems to hang after so many latency objectives without a sign."""
+"""A runner without a backlog counts as unresponsive after this many times the route's latency
+objective."""
 
 DECODE_COST_TOKENS: Final = 60
-"""Tokens of prompt reading that one running request's generation costs its runner in a while."""
+"""What generating for one running request costs a runner, in tokens of prefill."""
 
 
 class Placement(Protocol):
-    """Knows which runners hold an adapter and gets it loaded where none does."""
+    """Knows which runners hold an adapter, and has it loaded on another one if necessary."""
 
     def runners_with_adapter(self, adapter: str) -> dict[str, int]:
-        """Return the version of an adapter by the id of the runner that can serve it now."""
+        """Return the adapter's version on each runner that can serve it now."""
 
     def wanted_version(self, adapter: str) -> int | None:
-        """Return the version that the operator named; ``None`` where none was."""
+        """Return the version that the operator requested; ``None`` if there is none."""
 
     def request_slot(
         self,
@@ -60,21 +63,24 @@
         job: Job,
         overloaded: Collection[ServerLife] = (),
     ) -> Chosen | NoServer:
-        """Have the adapter loaded somewhere; waits until it is there.
+        """Have the adapter loaded on a runner, and wait until it is.
 
-        :param crowded: runners that hold it and can't read the request in time.
+        :param overloaded: the runners that hold the adapter but can't process the request in time.
         """
 
     def start_deadline_ms(self, adapter: str, version: int) -> int | None:
         """Return until when a request may begin on a version; ``None`` while it is the newest."""
 
     def mark_adapter_missing(self, adapter: str, life: ServerLife) -> None:
-        """Take the word of a runner that it does not hold an adapter."""
+        """Record that a runner has stated that it does not hold an adapter."""
 
 
 @attrs.define(slots=True)
 class RunnerChooser:
-    """Picks a runner for a generation."""
+    """Chooses the runner that processes a generation.
+
+    Among the runners that can process the prompt in time, it is the one with the least work.
+    """
 
     registry: ServerRegistry
     backlog: Backlog
@@ -87,36 +93,40 @@
     def choose(
         self, call: Call, route: Route, service: Service, job: Job, now_ms: int
     ) -> Chosen | NoServer:
-        """Return a runner that holds what the request needs, or have it loaded."""
-        held = self.placement.runners_with_adapter(call.adapter) if call.adapter is not None else {}
-        usable = self._usable_runners(call, held, service, job, now_ms)
+        """Return a runner that holds the adapter; if there is none in time, have it loaded."""
+        version_by_life = (
+            self.placement.runners_with_adapter(call.adapter) if call.adapter is not None else {}
+        )
+        usable = self._usable_runners(call, version_by_life, service, job, now_ms)
         if call.adapter is None:
             if not usable:
                 return NoServer("no runner holds the model", NO_SERVER_RETRY_AFTER_MS)
             return self._choose_for_base_model(usable, call, job, now_ms)
-        holding = [server for server in usable if server.life in held]
-        timely = [
-            s for s in holding if self._can_prefill_in_time(s.life, held[s.life], job, now_ms)
+        holding = [runner for runner in usable if runner.life in version_by_life]
+        in_time = [
+            runner
+            for runner in holding
+            if self._can_prefill_in_time(runner.life, version_by_life[runner.life], job, now_ms)
         ]
-        if not timely:
-            crowded = [server.life for server in holding]
-            return self.placement.request_slot(call, route, service, job, crowded)
-        best = min(timely, key=lambda s: self._cost(s, now_ms))
-        return self._build_chosen(best, call, held[best.life], job, now_ms)
+        if not in_time:
+            overloaded = [runner.life for runner in holding]
+            return self.placement.request_slot(call, route, service, job, overloaded)
+        best = min(in_time, key=lambda runner: self._cost(runner, now_ms))
+        return self._build_chosen(best, call, version_by_life[best.life], job, now_ms)
 
     def _can_prefill_in_time(self, life: ServerLife, version: int, job: Job, now_ms: int) -> bool:
-        begins_until_ms = self.placement.start_deadline_ms(job.call.adapter, version)
-        return self.backlog.can_prefill_in_time(life, job, now_ms, begins_until_ms)
+        start_deadline_ms = self.placement.start_deadline_ms(job.call.adapter, version)
+        return self.backlog.can_prefill_in_time(life, job, now_ms, start_deadline_ms)
 
     def _choose_for_base_model(
         self, runners: list[BackendServer], call: Call, job: Job, now_ms: int
     ) -> Chosen | NoServer:
         """Return a runner for a request that needs no adapter."""
-        timely = [s for s in runners if self.backlog.can_prefill_in_time(s.life, job, now_ms)]
-        if not timely:
-            drained_ms = self.backlog.queue_drain_ms([s.life for s in runners], job, now_ms)
-            return NoServer("every queue is longer than the time left", drained_ms)
-        best = min(timely, key=lambda s: self._cost(s, now_ms))
+        in_time = [r for r in runners if self.backlog.can_prefill_in_time(r.life, job, now_ms)]
+        if not in_time:
+            queue_drain_ms = self.backlog.queue_drain_ms([r.life for r in runners], job, now_ms)
+            return NoServer("every queue is longer than the time left", queue_drain_ms)
+        best = min(in_time, key=lambda runner: self._cost(runner, now_ms))
         return self._build_chosen(best, call, None, job, now_ms)
 
     def _usable_runners(
@@ -127,73 +137,76 @@
         job: Job,
         now_ms: int,
     ) -> list[BackendServer]:
-        servers = [
-            server
-            for server in self.registry.servers_of(service.name)
-            # The holder's word on an adapter is newer than the entry's on the base model.
-            if server.life in version_by_life
-            or any(model.name == call.model for model in server.models)
+        runners = [
+            runner
+            for runner in self.registry.servers_of(service.name)
+            # What the lease holder announces about an adapter is newer than the registry entry's
+            # base models.
+            if runner.life in version_by_life
+            or any(model.name == call.model for model in runner.models)
         ]
-        reached = [s for s in servers if not self.health.is_paused(s.life, now_ms)]
-        # A stream that broke off goes on elsewhere: where it broke it would break again.
-        fresh = [s for s in reached if s.life not in job.avoided_lives]
-        return fresh or reached or servers
+        reachable = [runner for runner in runners if not self.health.is_paused(runner.life, now_ms)]
+        # A stream that broke off is resumed at another runner, since it would probably break off
+        # again at the same one.
+        preferred = [runner for runner in reachable if runner.life not in job.avoided_lives]
+        return preferred or reachable or runners
 
     def _build_chosen(
-        self, server: BackendServer, call: Call, version: int | None, job: Job, now_ms: int
+        self, runner: BackendServer, call: Call, version: int | None, job: Job, now_ms: int
     ) -> Chosen:
         wanted = self.placement.wanted_version(call.adapter) if call.adapter else None
-        current = wanted is not None and version is not None and version >= wanted
+        is_current = wanted is not None and version is not None and version >= wanted
         return Chosen(
-            server.life,
-            server.address,
+            runner.life,
+            runner.address,
             call.adapter,
             version,
             call.prompt_tokens,
             call.prompt_tokens + call.max_output_tokens,
-            # An older version may still begin for a moment after a newer one was named.
-            wanted if current else None,
+            # Requests may begin on an older version for a short time after a newer one was
+            # requested.
+            wanted if is_current else None,
             why="held",
-            queue=self.backlog.queue_ahead(server.life, job, now_ms),
+            queue=self.backlog.queue_ahead(runner.life, job, now_ms),
         )
 
     def response_timeout_ms(self, chosen: Chosen, route: Route) -> int:
-        """Return how long a runner may take to the first event before it seems to hang.
+        """Return how long a runner may take for the first event before it counts as unresponsive.
 
-        A backlog is no sign of hanging: where much is to be read, all the time.
+        A runner with a backlog may use all the time that the request has.
         """
-        server = self.registry.server_by_life.get(chosen.life)
+        runner = self.registry.server_by_life.get(chosen.life)
         if (
-            server is None
-            or self._pending_prefill_tokens(server, self.clock.now_ms()) > MIN_BACKLOG_TOKENS
+            runner is None
+            or self._pending_prefill_tokens(runner, self.clock.now_ms()) > MIN_BACKLOG_TOKENS
         ):
             return UNBOUNDED_MS
         return route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES
 
     def start_deadline_ms(self, chosen: Chosen) -> int | None:
-        """Return until when a request may begin where it was sent; ``None`` without a bound."""
+        """Return until when the request may begin at the runner; ``None`` without a limit."""
         if chosen.adapter is None or chosen.version is None:
             return None
         return self.placement.start_deadline_ms(chosen.adapter, chosen.version)
 
     def may_send(self, chosen: Chosen) -> bool:
-        """Tell whether a server that was chosen still takes work."""
+        """Return whether a runner that was chosen still accepts requests."""
         return self.registry.is_accepting_work(chosen.life)
 
     def record_sent(self, chosen: Chosen, request_id: str, route: Route, now_ms: int) -> None:
-        """Take that a request goes out to its server."""
+        """Record that a request is being sent to its runner."""
         queue_ms = chosen.queue.expected_ms if chosen.queue is not None else 0
-        sign_within_ms = int(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES + queue_ms)
-        self.health.record_sent(chosen.life, request_id, now_ms, sign_within_ms)
+        respond_within_ms = int(route.objective_ms * RESPONSE_TIMEOUT_OBJECTIVES + queue_ms)
+        self.health.record_sent(chosen.life, request_id, now_ms, respond_within_ms)
 
     def record_activity(self, chosen: Chosen, now_ms: int) -> None:
-        """Take a part of an answer of a server."""
+        """Record that a runner sent a part of an answer."""
         self.health.record_response(chosen.life, now_ms)
 
     def record_result(
         self, chosen: Chosen, request_id: str, result: AttemptResult, took_ms: int, now_ms: int
     ) -> None:
-        """Take how a try ended."""
+        """Record how an attempt ended."""
         self.health.record_finished(chosen.life, request_id, now_ms)
         match result:
             case Passed():
@@ -209,14 +222,12 @@
             case Unclear() | Cut() | TimedOut(silent=True) | Abandoned(silent=True) | Rejected():
                 self.health.record_result(chosen.life, False, took_ms, now_ms)
 
-    def _cost(self, server: BackendServer, now_ms: int) -> float:
-        work = self.backlog.work_at(server.life, server.service, now_ms)
-        running, waiting = work.requests, work.pending_prefill_tokens
-        success = 1.0 - self.health.failure_share(server.life, now_ms)
-        return (waiting + DECODE_COST_TOKENS * (running + 1)) / max(
-            0.1, success
-        ) + self.rng.random()
-
-    def _pending_prefill_tokens(self, server: BackendServer, now_ms: int) -> int:
-        """Return the prompt tokens that are still to be read at a runner."""
-        return self.backlog.work_at(server.life, server.service, now_ms).pending_prefill_tokens
+    def _cost(self, runner: BackendServer, now_ms: int) -> float:
+        work = self.backlog.work_at(runner.life, runner.service, now_ms)
+        running, queued = work.requests, work.pending_prefill_tokens
+        success = 1.0 - self.health.failure_share(runner.life, now_ms)
+        return (queued + DECODE_COST_TOKENS * (running + 1)) / max(0.1, success) + self.rng.random()
+
+    def _pending_prefill_tokens(self, runner: BackendServer, now_ms: int) -> int:
+        """Return the prompt tokens that a runner still has to process."""
+        return self.backlog.work_at(runner.life, runner.service, now_ms).pending_prefill_tokens
