--- a/monsoonflow/quarantine/__init__.py
+++ b/monsoonflow/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which servers end: how they are recognised and kept away from servers."""
+"""Quarantine of requests that crash servers: finds them and keeps them away from all servers."""
--- a/monsoonflow/quarantine/crash_probe.py
+++ b/monsoonflow/quarantine/crash_probe.py
@@ -1,4 +1,4 @@
-"""Finds out whether a server whose connection broke has ended."""
+"""Checks whether a server to which a connection broke has crashed."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from ..transport.models import Lost
 
 PROBE_TIMEOUT_MS: Final = 250
-"""A port that refuses does so within a round trip; one that does not answer says nothing."""
+"""A port without a process refuses within a round trip; no answer at all proves nothing."""
 
 PROBE_RESULT_TTL_MS: Final = 1_000
-"""All that was on a server looks at it within a moment: one connection tells for all."""
+"""All requests that were on a server ask at almost the same time, so one probe serves them all."""
 
 
 @attrs.define(slots=True)
@@ -26,7 +26,7 @@
 
 
 class CrashProbe:
-    """Asks a server's port: that of a process that is gone refuses."""
+    """Connects to a server's port, which refuses if the server's process has ended."""
 
     def __init__(self, pools: Pools, clock: Clock) -> None:
         self._pools = pools
@@ -34,22 +34,22 @@
         self._probe_by_life: dict[ServerLife, _Probe] = {}
 
     def has_crashed(self, life: ServerLife, address: str) -> bool:
-        """Tell whether a server has ended, as far as its port tells."""
+        """Return whether a server has crashed; waits for the result of a probe that is running."""
         now_ms = self._clock.now_ms()
-        for known, look in list(self._probe_by_life.items()):
-            if now_ms - look.at_ms > PROBE_RESULT_TTL_MS:
-                del self._probe_by_life[known]
-        look = self._probe_by_life.get(life)
-        if look is not None:
-            return look.result.get()
-        look = self._probe_by_life[life] = _Probe(now_ms)
-        refused = False
+        for probed_life, probe in list(self._probe_by_life.items()):
+            if now_ms - probe.at_ms > PROBE_RESULT_TTL_MS:
+                del self._probe_by_life[probed_life]
+        probe = self._probe_by_life.get(life)
+        if probe is not None:
+            return probe.result.get()
+        probe = self._probe_by_life[life] = _Probe(now_ms)
+        is_refused = False
         try:
-            refused = self._is_connection_refused(address)
+            is_refused = self._is_connection_refused(address)
         finally:
-            # Also where the caller whose task looks leaves meanwhile: others wait for the result.
-            look.result.set(refused)
-        return refused
+            # Set it also if this task is stopped because its caller leaves: others wait for it.
+            probe.result.set(is_refused)
+        return is_refused
 
     def _is_connection_refused(self, address: str) -> bool:
         connection = self._pools.open(address, PROBE_TIMEOUT_MS)
--- a/monsoonflow/quarantine/fingerprint.py
+++ b/monsoonflow/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Recognises a request that comes again under another id."""
+"""Recognises a request that a caller sends again with another id."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def fingerprint(method: bytes, host: str, target: bytes, body: bytes) -> str:
-    """Return a name for all requests that ask for the same.
+    """Return the same hash for all requests with the same content.
 
-    A caller that asks again gives its request another id. The name says nothing of the body, so it
-    may stand in the log.
+    A caller that retries gives its request another id, so the id can't be used. The hash does not
+    reveal the body, so it may be logged.
 
     >>> fingerprint(b"POST", "h", b"/a/1", b"x") == fingerprint(b"POST", "h", b"/a/1", b"x")
     True
--- a/monsoonflow/quarantine/manager.py
+++ b/monsoonflow/quarantine/manager.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which servers end from all servers, on all nodes and over restarts."""
+"""Keeps requests that crash servers away from all servers, on all nodes and across restarts."""
 
 from __future__ import annotations
 
@@ -24,18 +24,17 @@
 ROW_PREFIX: Final = "quarantine/"
 MAX_ANNOUNCED_CRASH_AGE_MS: Final = 10_000
 MAX_ANNOUNCED_CRASHES: Final = 64
-"""Of what this node has seen lately, so much goes with each report."""
+"""Most crashes that each heartbeat announces, the newest ones."""
 
 MAX_ANNOUNCED_QUARANTINED: Final = 32
 STORE_SYNC_INTERVAL_MS: Final = 500
 
-
 MAX_TURN_WAIT_MS: Final = 1_000
-"""How long a suspect waits for the others."""
+"""How long a suspect request waits for other suspects."""
 
 
 class QuarantineRow(Struct):
-    """The value of a quarantined request's row."""
+    """The stored row of a quarantined request."""
 
     fingerprint: str
     lives: list[str]
@@ -43,9 +42,10 @@
 
 
 class QuarantineManager:
-    """Finds the requests to blame together with the other nodes, and remembers them in the store.
+    """Finds the requests that crash servers, together with the peers, and keeps them in the store.
 
-    :param on_news: called when this node finds one: all others must know at once.
+    :param on_quarantined: called when this node quarantines a request, to announce it to all peers
+        at once.
     """
 
     def __init__(
@@ -68,14 +68,15 @@
         self._turn = BoundedSemaphore(1)
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Tell whether a request must reach no server."""
+        """Return whether a request must not be sent to any server."""
         return self.suspects.is_quarantined(fingerprint)
 
     def acquire_turn(self, fingerprint: str, timeout_ms: int) -> Turn:
-        """Wait until a request may be sent; ``Turn.LOST``: it is not soon enough.
+        """Wait until a request may be sent; return ``Turn.TIMED_OUT`` if that takes too long.
 
-        Suspects go one after the other, each when the one before has ended: joined by the culprit
-        while it is still being answered, a bystander would be on a third server that ends.
+        Suspects are sent one after the other, each when the previous one has ended. Otherwise an
+        innocent request could share a third server with the request that crashes it, and would be
+        quarantined too.
         """
         if not self.suspects.must_run_alone(fingerprint):
             return Turn.NOT_NEEDED
@@ -83,13 +84,14 @@
         return Turn.ACQUIRED if self._turn.acquire(timeout=wait_s) else Turn.TIMED_OUT
 
     def release_turn(self) -> None:
-        """Let the next suspect go."""
+        """Let the next suspect request be sent."""
         self._turn.release()
 
     def record_broken_connection(self, fingerprint: str, life: ServerLife, address: str) -> None:
-        """Take that a server's connection broke while it had a request, and look whether it ended.
+        """Record that a server's connection broke with a request, and probe for a crash.
 
-        Looked at before the request is tried again: it would end the next server meanwhile.
+        The result is known before the request is retried. Otherwise the request could crash the
+        next server meanwhile.
         """
         self._handle_quarantined(
             self.suspects.record_broken_connection(fingerprint, life, self._clock.now_ms())
@@ -98,43 +100,46 @@
             self.record_server_crash(life)
 
     def record_server_crash(self, life: ServerLife) -> None:
-        """Take that a server's port refuses connections."""
+        """Record that a server's port refuses connections."""
         now_ms = self._clock.now_ms()
-        had = self.suspects.broken_requests_at(life)
-        if had:
-            log(_LOGGER, events.ServerEnded(server=life, had=len(had), requests=",".join(had)))
+        requests = self.suspects.broken_requests_at(life)
+        if requests:
+            log(
+                _LOGGER,
+                events.ServerEnded(server=life, had=len(requests), requests=",".join(requests)),
+            )
         self._handle_quarantined(self.suspects.record_server_crash(life, now_ms))
 
     def record_completed(self, fingerprint: str) -> None:
-        """Take that a server has answered a request whole."""
+        """Record that a server has answered a request completely."""
         if self.suspects.record_completed(fingerprint, self._clock.now_ms()):
-            self._log_lifted(fingerprint, "answered whole")
+            self._log_lifted(fingerprint, "a server answered it completely")
             self._fingerprints_to_remove.add(fingerprint)
 
     def own_crashes(self) -> tuple[ServerCrash, ...]:
-        """Return what this node tells the others of what it has seen."""
+        """Return the recent crashes seen by this node, which it announces to its peers."""
         return self.suspects.own_crashes(
             self._clock.now_ms(), MAX_ANNOUNCED_CRASH_AGE_MS, MAX_ANNOUNCED_CRASHES
         )
 
     def announced_quarantined(self) -> tuple[str, ...]:
-        """Return the quarantined requests that this node tells the others."""
+        """Return the quarantined requests that this node announces to its peers."""
         return tuple(
-            one.fingerprint for one in self.suspects.quarantined(MAX_ANNOUNCED_QUARANTINED)
+            request.fingerprint for request in self.suspects.quarantined(MAX_ANNOUNCED_QUARANTINED)
         )
 
     def apply_announced(
         self, source: str, crashes: Iterable[ServerCrash], quarantined: Iterable[str]
     ) -> None:
-        """Take what another node tells."""
+        """Apply the crashes and quarantined requests that a peer announces."""
         now_ms = self._clock.now_ms()
-        found = [self.suspects.record_crash(ending, now_ms, source) for ending in crashes]
-        self._handle_quarantined([one for one in found if one is not None])
+        results = [self.suspects.record_crash(crash, now_ms, source) for crash in crashes]
+        self._handle_quarantined([request for request in results if request is not None])
         for fingerprint in quarantined:
             self._quarantine(QuarantinedRequest(fingerprint, (), source))
 
     def apply_row(self, row: ChangedRow) -> bool:
-        """Take a changed row of the store; return whether it is one of a quarantine."""
+        """Apply a changed row of the store; return whether it belongs to the quarantine."""
         if not row.key.startswith(ROW_PREFIX):
             return False
         fingerprint = row.key.removeprefix(ROW_PREFIX)
@@ -153,24 +158,28 @@
         return True
 
     def run(self) -> None:
-        """Keep the store's rows as they should be, for good."""
+        """Update the store's rows at regular intervals, forever."""
         while True:
             self._tasks.sleep(STORE_SYNC_INTERVAL_MS)
             self.sync_rows()
 
     def sync_rows(self) -> None:
-        """Write what this node has found, and remove what is quarantined no more."""
+        """Write the rows of requests that this node has helped to find, and remove lifted ones."""
         for fingerprint in self.suspects.lift_expired(self._clock.now_ms()):
-            self._log_lifted(fingerprint, "its time is over")
+            self._log_lifted(fingerprint, "expired")
             self._fingerprints_to_remove.add(fingerprint)
         for fingerprint in list(self._fingerprints_to_remove):
             transaction = Transaction(new_id("op"), {}, {}, (ROW_PREFIX + fingerprint,))
             if isinstance(self._table.commit(transaction), Committed):
                 self._fingerprints_to_remove.discard(fingerprint)
-        for one in self.suspects.quarantined():
-            known = one.fingerprint in self._stored_fingerprints
-            if not known and one.lives and self.suspects.has_seen_crash(one.fingerprint):
-                self._write_row(one)
+        for request in self.suspects.quarantined():
+            is_stored = request.fingerprint in self._stored_fingerprints
+            if (
+                not is_stored
+                and request.lives
+                and self.suspects.has_seen_crash(request.fingerprint)
+            ):
+                self._write_row(request)
 
     def _write_row(self, request: QuarantinedRequest) -> None:
         key = ROW_PREFIX + request.fingerprint
@@ -184,8 +193,8 @@
             self._stored_fingerprints.add(request.fingerprint)
 
     def _handle_quarantined(self, requests: list[QuarantinedRequest]) -> None:
-        for one in requests:
-            self._log_quarantined(one)
+        for request in requests:
+            self._log_quarantined(request)
         if requests:
             self._on_quarantined()
 
--- a/monsoonflow/quarantine/models.py
+++ b/monsoonflow/quarantine/models.py
@@ -1,4 +1,4 @@
-"""What is known of requests under which servers have ended."""
+"""Data about requests that have crashed servers."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 @attrs.frozen(slots=True)
 class ServerCrash:
-    """A server ended while it had a request.
+    """A server crashed while it had a request.
 
-    :param fingerprint: of the request.
+    :param fingerprint: the fingerprint of the request.
+    :param life: the server that crashed.
     """
 
     fingerprint: str
@@ -22,10 +23,10 @@
 
 @attrs.frozen(slots=True)
 class QuarantinedRequest:
-    """A request that is sent to no server any more.
+    """A request that must not be sent to any server.
 
-    :param lives: the servers that ended under it.
-    :param source: who found that out.
+    :param lives: the servers that crashed while they had it.
+    :param source: the node that quarantined it first.
     """
 
     fingerprint: str
@@ -34,9 +35,11 @@
 
 
 class Turn(Enum):
-    """Whether a request may be sent now.
+    """Whether a request may be sent now; suspect requests are sent one at a time.
 
-    ``HELD``: it is suspected, and its turn is to be ended.
+    ``NOT_NEEDED``: the request is no suspect. ``ACQUIRED``: it is a suspect that may be sent now,
+    and its turn must be released when its attempt has ended. ``TIMED_OUT``: it must not be sent,
+    since other suspects kept the turn for too long.
     """
 
     NOT_NEEDED = auto()
--- a/monsoonflow/quarantine/suspects.py
+++ b/monsoonflow/quarantine/suspects.py
@@ -1,7 +1,8 @@
-"""Decides which requests are to blame when servers end, by what they have in common.
+"""Decides which requests crash servers.
 
-A server that ends takes with it all that it has in progress: one culprit and many that ran beside
-it. What was on three servers as each of them ended, and was never answered by any, is the culprit.
+A server that crashes breaks off all requests that it has in progress: the one that caused the crash
+and many innocent ones. A request that was on three servers when each of them crashed, and that no
+server has ever answered, is taken to be the cause.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
 from .models import QuarantinedRequest, ServerCrash
 
 CRASHES_TO_QUARANTINE: Final = 3
-"""So many servers must have ended under a request: a bystander is rarely on three in a row."""
+"""Crashes after which a request is quarantined: an innocent one is rarely in three in a row."""
 
 CRASHES_TO_RUN_ALONE: Final = 2
-"""From so many on a request runs apart from others that are suspected as much: retried side by
-side, they would be on the next server together as well, and all look to blame."""
+"""Crashes after which a request is not retried together with others that have as many. They would
+all be on the next server that crashes as well, and all of them would be quarantined."""
 
 BROKEN_CONNECTION_TTL_MS: Final = 5_000
-"""How long it is remembered that a request was on a server whose connection broke: by then it is
-known whether that server has ended."""
+"""How long a broken connection is remembered. After this time it is known whether the server has
+crashed."""
 
 SUSPICION_TTL_MS: Final = 600_000
-"""How long a request is suspected after the last server that ended under it."""
+"""How long a request stays suspect after its last crash."""
 
 QUARANTINE_TTL_MS: Final = 3_600_000
-"""After so long a request is given another chance: what it asked for may have been mended."""
+"""Time after which a request is allowed again, since the server may have been fixed."""
 
 IGNORE_AFTER_LIFT_MS: Final = 60_000
-"""So long after its quarantine was lifted the word of a node that has not heard of that, or of what
-was seen before, counts for nothing."""
+"""How long crashes and quarantines of a request are ignored after its quarantine was lifted: peers
+that don't know that yet still announce them."""
 
 MAX_SUSPECTS: Final = 4_096
 MAX_QUARANTINED: Final = 1_024
@@ -54,13 +55,13 @@
 
 
 class Suspects:
-    """The requests that servers may have ended under, on all nodes.
+    """The suspect and quarantined requests of all nodes.
 
     >>> suspects = Suspects("n1")
     >>> for life in map(ServerLife, ("i-1", "i-2", "i-3")):
     ...     _ = suspects.record_broken_connection("f", life, 0)
     ...     found = suspects.record_server_crash(life, 5)
-    >>> [one.fingerprint for one in found], suspects.is_quarantined("f")
+    >>> [request.fingerprint for request in found], suspects.is_quarantined("f")
     (['f'], True)
     """
 
@@ -76,58 +77,58 @@
     def record_broken_connection(
         self, fingerprint: str, life: ServerLife, now_ms: int
     ) -> list[QuarantinedRequest]:
-        """Take that a server's connection broke while it had a request.
+        """Record that a server's connection broke while it had a request.
 
-        :return: what is quarantined by that, where the server is known to have ended.
+        :return: the requests that are quarantined by that, if the server has recently crashed.
         """
         known = self._broken_connections_by_life.get(life, {})
-        # A server that loses answers for days would otherwise be remembered with all of them.
-        broken = {
-            name: at_ms
-            for name, at_ms in known.items()
-            if now_ms - at_ms <= BROKEN_CONNECTION_TTL_MS
+        # Old entries are dropped, because a server may break connections for days without a crash.
+        recent = {
+            other: broken_ms
+            for other, broken_ms in known.items()
+            if now_ms - broken_ms <= BROKEN_CONNECTION_TTL_MS
         }
-        broken[fingerprint] = now_ms
-        self._broken_connections_by_life[life] = broken
+        recent[fingerprint] = now_ms
+        self._broken_connections_by_life[life] = recent
         _trim(self._broken_connections_by_life, MAX_SERVERS)
-        ended_ms = self._crashed_ms_by_life.get(life)
-        just_ended = ended_ms is not None and now_ms - ended_ms <= BROKEN_CONNECTION_TTL_MS
-        return self._record_crash_of_requests(life, now_ms) if just_ended else []
+        crashed_ms = self._crashed_ms_by_life.get(life)
+        has_crashed = crashed_ms is not None and now_ms - crashed_ms <= BROKEN_CONNECTION_TTL_MS
+        return self._record_crash_of_requests(life, now_ms) if has_crashed else []
 
     def record_server_crash(self, life: ServerLife, now_ms: int) -> list[QuarantinedRequest]:
-        """Take that a server has ended; return what is quarantined by that."""
+        """Record that a server has crashed; return the requests that are quarantined by that."""
         self._crashed_ms_by_life[life] = now_ms
         _trim(self._crashed_ms_by_life, MAX_SERVERS)
         return self._record_crash_of_requests(life, now_ms)
 
     def must_run_alone(self, fingerprint: str) -> bool:
-        """Tell whether a request must not run beside others that are suspected as much."""
+        """Return whether a request must not run at the same time as others with as many crashes."""
         suspect = self._suspect_by_fingerprint.get(fingerprint)
         return suspect is not None and len(suspect.lives) >= CRASHES_TO_RUN_ALONE
 
     def broken_requests_at(self, life: ServerLife) -> list[str]:
-        """Return the requests that were on a server as its connections broke."""
+        """Return the requests that a server had when its connections broke."""
         return list(self._broken_connections_by_life.get(life, ()))
 
     def _record_crash_of_requests(self, life: ServerLife, now_ms: int) -> list[QuarantinedRequest]:
-        found = []
-        for fingerprint, at_ms in self._broken_connections_by_life.pop(life, {}).items():
-            if now_ms - at_ms > BROKEN_CONNECTION_TTL_MS:
+        quarantined = []
+        for fingerprint, broken_ms in self._broken_connections_by_life.pop(life, {}).items():
+            if now_ms - broken_ms > BROKEN_CONNECTION_TTL_MS:
                 continue
-            ending = ServerCrash(fingerprint, life)
-            self._own_crash_ms[ending] = now_ms
+            crash = ServerCrash(fingerprint, life)
+            self._own_crash_ms[crash] = now_ms
             _trim(self._own_crash_ms, MAX_SUSPECTS)
-            held = self.record_crash(ending, now_ms, self._name)
-            if held is not None:
-                found.append(held)
-        return found
+            request = self.record_crash(crash, now_ms, self._name)
+            if request is not None:
+                quarantined.append(request)
+        return quarantined
 
     def record_crash(
         self, crash: ServerCrash, now_ms: int, source: str
     ) -> QuarantinedRequest | None:
-        """Take that a server ended under a request; return it if it is quarantined by that.
+        """Record that a server crashed with a request; return it if it is quarantined by that.
 
-        :param source: the node that tells it.
+        :param source: the node that has seen the crash.
         """
         fingerprint = crash.fingerprint
         if self._was_recently_lifted(fingerprint, now_ms):
@@ -143,11 +144,11 @@
         _trim(self._suspect_by_fingerprint, MAX_SUSPECTS)
         if len(suspect.lives) < CRASHES_TO_QUARANTINE:
             return None
-        held = QuarantinedRequest(fingerprint, tuple(suspect.lives), source)
-        return held if self.quarantine(held, now_ms) else None
+        request = QuarantinedRequest(fingerprint, tuple(suspect.lives), source)
+        return request if self.quarantine(request, now_ms) else None
 
     def quarantine(self, request: QuarantinedRequest, now_ms: int) -> bool:
-        """Keep a request from all servers; return whether that is news."""
+        """Quarantine a request; return whether it was not quarantined before."""
         fingerprint = request.fingerprint
         if fingerprint in self._entry_by_fingerprint or self._was_recently_lifted(
             fingerprint, now_ms
@@ -158,19 +159,17 @@
         return True
 
     def lift(self, fingerprint: str, now_ms: int) -> bool:
-        """Let a request reach servers again; return whether it was quarantined."""
+        """Allow a request again; return whether it was quarantined."""
         self._suspect_by_fingerprint.pop(fingerprint, None)
-        for ending in [
-            ending for ending in self._own_crash_ms if ending.fingerprint == fingerprint
-        ]:
-            del self._own_crash_ms[ending]
+        for crash in [crash for crash in self._own_crash_ms if crash.fingerprint == fingerprint]:
+            del self._own_crash_ms[crash]
         self._lifted_ms_by_fingerprint[fingerprint] = now_ms
         self._lifted_ms_by_fingerprint.move_to_end(fingerprint)
         _trim(self._lifted_ms_by_fingerprint, MAX_SUSPECTS)
         return self._entry_by_fingerprint.pop(fingerprint, None) is not None
 
     def record_completed(self, fingerprint: str, now_ms: int) -> bool:
-        """Take that a server has answered a request whole: it is not to blame.
+        """Record that a server has answered a request completely, so that it is no suspect.
 
         :return: whether it was quarantined.
         """
@@ -183,34 +182,34 @@
         return lifted_ms is not None and now_ms - lifted_ms <= IGNORE_AFTER_LIFT_MS
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Tell whether a request must reach no server."""
+        """Return whether a request must not be sent to any server."""
         return fingerprint in self._entry_by_fingerprint
 
     def lift_expired(self, now_ms: int) -> list[str]:
-        """Lift what has been quarantined for long enough, and return it."""
-        ended = [
+        """Lift the quarantines that have expired; return the fingerprints of their requests."""
+        expired = [
             fingerprint
-            for fingerprint, held in self._entry_by_fingerprint.items()
-            if now_ms - held.quarantined_ms > QUARANTINE_TTL_MS
+            for fingerprint, entry in self._entry_by_fingerprint.items()
+            if now_ms - entry.quarantined_ms > QUARANTINE_TTL_MS
         ]
-        for fingerprint in ended:
+        for fingerprint in expired:
             self.lift(fingerprint, now_ms)
-        return ended
+        return expired
 
     def has_seen_crash(self, fingerprint: str) -> bool:
-        """Tell whether this node has seen a server end under a request."""
-        return any(ending.fingerprint == fingerprint for ending in self._own_crash_ms)
+        """Return whether this node itself has seen a server crash with a request."""
+        return any(crash.fingerprint == fingerprint for crash in self._own_crash_ms)
 
     def own_crashes(self, now_ms: int, max_age_ms: int, max_count: int) -> tuple[ServerCrash, ...]:
-        """Return the newest of what this node has lately seen itself."""
+        """Return the newest crashes that this node itself has seen, the newest last."""
         newest_first = islice(reversed(self._own_crash_ms.items()), max_count)
-        recent = [ending for ending, at_ms in newest_first if now_ms - at_ms <= max_age_ms]
+        recent = [crash for crash, seen_ms in newest_first if now_ms - seen_ms <= max_age_ms]
         return tuple(reversed(recent))
 
     def quarantined(self, max_count: int | None = None) -> list[QuarantinedRequest]:
         """Return the quarantined requests, the newest last."""
-        held = [held.request for held in self._entry_by_fingerprint.values()]
-        return held if max_count is None else held[-max_count:]
+        requests = [entry.request for entry in self._entry_by_fingerprint.values()]
+        return requests if max_count is None else requests[-max_count:]
 
 
 def _trim(table: OrderedDict, max_size: int) -> None:
