--- a/tests/gateway/runner_simulation.py
+++ b/tests/gateway/runner_simulation.py
@@ -1,4 +1,4 @@
-"""Entry nodes that send generations to runners and hear of each other in rounds; virtual time."""
+"""Simulates entry nodes that send generations to runners and exchange heartbeats; virtual time."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 HOLDER = "n0"
 STEP_MS = 10
 TOKENS_PER_MS = 19.2
-PROMPT = 2_368
-LEAVES_MS = 4_044
+PROMPT_TOKENS = 2_368
+CALLER_LEAVES_MS = 4_044
 ENGINE = EngineTraits(96, 120_000, 35_200, 5, 2.8)
 SERVICE = Service("s", engine=ENGINE)
 ROUTE = Route(
@@ -41,44 +41,44 @@
     timeout_ms=5_054,
     objective_ms=1_011,
     priority=1,
-    first_event_timeout_ms=LEAVES_MS,
+    first_event_timeout_ms=CALLER_LEAVES_MS,
 )
 
 
 @attrs.define
-class NoPlaces:
-    """A placement that knows holders and finds no other place."""
+class FixedPlacement:
+    """A placement with a fixed set of loaded adapters that never loads another one."""
 
-    held: dict[str, dict[ServerLife, int]]
-    asked: int = 0
+    loaded: dict[str, dict[ServerLife, int]]
+    slot_request_count: int = 0
 
     def runners_with_adapter(self, adapter: str) -> dict[ServerLife, int]:
-        """Return who holds an adapter."""
-        return self.held.get(adapter, {})
+        """Return the adapter's version on each runner that holds it."""
+        return self.loaded.get(adapter, {})
 
     def wanted_version(self, adapter: str) -> int | None:
-        """Return that no version was named."""
+        """Return ``None``: the operator has requested no version."""
         return None
 
     def request_slot(self, *_: object, **__: object) -> NoServer:
         """Refuse."""
-        self.asked += 1
-        return NoServer("no place", 500)
+        self.slot_request_count += 1
+        return NoServer("no slot", 500)
 
     def start_deadline_ms(self, adapter: str, version: int) -> int | None:
-        """Return no bound."""
+        """Return ``None``: requests may begin at any time."""
         return None
 
 
 @attrs.define(eq=False)
-class Sent:
-    """A request at a runner."""
+class QueuedRequest:
+    """A request in a runner's queue."""
 
     node: Node
     job: Job
     chosen: Chosen
     ticket: Ticket
-    left: float
+    remaining_tokens: float
 
 
 @attrs.define(eq=False)
@@ -93,146 +93,159 @@
     rounds: HeartbeatRounds
     sequence: int = 0
 
-    def report(self, now_ms: int) -> Heartbeat:
-        """Return its word about itself, as it would arrive: a copy."""
+    def heartbeat(self, now_ms: int) -> Heartbeat:
+        """Return the node's heartbeat, with a copy of its work, as peers would receive it."""
         self.sequence += 1
-        work = {}
-        for life, at in self.in_flight.work_by_server.items():
-            work[life] = ServerWork()
-            work[life].add(at)
-        report = Heartbeat(self.card, self.sequence, True, False, 1, True, work_by_server=work)
-        return self._as_holder(report, now_ms) if self.card.name == HOLDER else report
-
-    def _as_holder(self, report: Heartbeat, now_ms: int) -> Heartbeat:
-        """Return a report with what the holder of the runners' duty tells beside."""
+        work_by_life = {}
+        for life, work in self.in_flight.work_by_server.items():
+            work_by_life[life] = ServerWork()
+            work_by_life[life].add(work)
+        heartbeat = Heartbeat(
+            self.card, self.sequence, True, False, 1, True, work_by_server=work_by_life
+        )
+        return self._as_holder(heartbeat, now_ms) if self.card.name == HOLDER else heartbeat
+
+    def _as_holder(self, heartbeat: Heartbeat, now_ms: int) -> Heartbeat:
+        """Return the heartbeat with what the holder of the cell lease adds."""
         claim = CellLeaseClaim("s", HOLDER, 1)
         self.view.apply_claim(claim)
-        total = dict(report.work_by_server)
+        total = dict(heartbeat.work_by_server)
         for life in {
-            life for r in self.view.heartbeats(now_ms, 2_000) for life in r.work_by_server
+            life for one in self.view.heartbeats(now_ms, 2_000) for life in one.work_by_server
         }:
             total[life] = self.backlog.work_at(life, "s", now_ms)
-        pace = self.backlog.prefill_rate.tokens_per_ms(None, now_ms)
+        tokens_per_ms = self.backlog.prefill_rate.tokens_per_ms(None, now_ms)
         return attrs.evolve(
-            report, claims=(claim,), overloaded_runners=overloaded_runners(total, pace)
+            heartbeat, claims=(claim,), overloaded_runners=overloaded_runners(total, tokens_per_ms)
         )
 
 
 @attrs.define
-class Crowd:
-    """Nodes, runners that read the most urgent first, and what becomes of requests."""
+class RunnerSimulation:
+    """Entry nodes, runners that process the most urgent requests first, and counts of results.
+
+    :param slowdown_by_life: how many times slower than normal a runner processes prompts.
+    :param caller_left_by_life: requests whose callers left while they waited at a runner.
+    :param processed: requests that got their first event.
+    :param lost: requests that were sent and got no first event.
+    :param cancelled: those of them that were cancelled before their caller left.
+    """
 
-    placement: NoPlaces
+    placement: FixedPlacement
     node_count: int
     lives: tuple[ServerLife, ...]
     tokens_per_ms: float = TOKENS_PER_MS
-    slow: dict[ServerLife, float] = attrs.Factory(dict)
-    read_by_life: Counter[ServerLife] = attrs.Factory(Counter)
-    lost_by_life: Counter[ServerLife] = attrs.Factory(Counter)
+    slowdown_by_life: dict[ServerLife, float] = attrs.Factory(dict)
+    processed_by_life: Counter[ServerLife] = attrs.Factory(Counter)
+    caller_left_by_life: Counter[ServerLife] = attrs.Factory(Counter)
     clock: ManualClock = attrs.Factory(lambda: ManualClock(100_000))
     rng: random.Random = attrs.Factory(lambda: random.Random(5))
     nodes: list[Node] = attrs.Factory(list)
-    queues: dict[ServerLife, list[Sent]] = attrs.Factory(dict)
+    queues: dict[ServerLife, list[QueuedRequest]] = attrs.Factory(dict)
     sent: int = 0
-    read: int = 0
+    processed: int = 0
     lost: int = 0
     refused: int = 0
-    taken_back: int = 0
+    cancelled: int = 0
     waits_ms: list[int] = attrs.Factory(list)
 
     def __attrs_post_init__(self) -> None:
-        book = ServerRegistry()
+        registry = ServerRegistry()
         for number, life in enumerate(self.lives, start=1):
             address = f"1.1.1.{number}:1"
-            book.put(BackendServer(life, "s", address, "dc", 96, models=(HeldModel("m"),)), 0)
+            registry.put(BackendServer(life, "s", address, "dc", 96, models=(HeldModel("m"),)), 0)
             self.queues[life] = []
-        self.nodes = [self._node(f"n{i}", book) for i in range(self.node_count)]
+        self.nodes = [self._node(f"n{i}", registry) for i in range(self.node_count)]
         for node in self.nodes:
             for other in self.nodes:
                 node.view.add_record(other.card)
 
-    def _node(self, name: str, book: ServerRegistry) -> Node:
+    def _node(self, name: str, registry: ServerRegistry) -> Node:
         view, in_flight = FleetView(name), InFlight()
         backlog = Backlog(in_flight, view)
         chooser = RunnerChooser(
-            book, backlog, HealthTracker(), self.placement, self.clock, self.rng, "dc"
+            registry, backlog, HealthTracker(), self.placement, self.clock, self.rng, "dc"
         )
         card = NodeRecord(name, "b", "dc", "1.1.1.2:1", "1.1.1.2:2", "1.1.1.2:3")
         return Node(card, view, in_flight, backlog, chooser, HeartbeatRounds(name))
 
-    def arrive(self, node: Node, adapter: str, route: Route = ROUTE) -> Chosen | NoServer:
-        """Let one request come to a node."""
+    def receive_request(self, node: Node, adapter: str, route: Route = ROUTE) -> Chosen | NoServer:
+        """Let a node receive a request and send it to a runner or refuse it."""
         now_ms = self.clock.now_ms()
-        call = Call("q", "h", "/a/", model="m", adapter=adapter, prompt_tokens=PROMPT)
+        call = Call("q", "h", "/a/", model="m", adapter=adapter, prompt_tokens=PROMPT_TOKENS)
         request = Request(b"POST", b"/a/", "1.1", [], b"", True, now_ms)
-        until_ms = now_ms + route.timeout_ms
-        job = Job(request, call, route, SERVICE, now_ms, until_ms, until_ms)
-        found = node.chooser.choose(call, route, SERVICE, job, now_ms)
-        if isinstance(found, NoServer):
+        deadline_ms = now_ms + route.timeout_ms
+        job = Job(request, call, route, SERVICE, now_ms, deadline_ms, deadline_ms)
+        chosen = node.chooser.choose(call, route, SERVICE, job, now_ms)
+        if isinstance(chosen, NoServer):
             self.refused += 1
-            return found
+            return chosen
         self.sent += 1
-        node.backlog.record_sent(found, now_ms)
+        node.backlog.record_sent(chosen, now_ms)
         ticket = node.in_flight.begin(
-            found.life,
+            chosen.life,
             now_ms,
             adapter,
-            found.prefill_tokens,
-            found.memory_tokens,
+            chosen.prefill_tokens,
+            chosen.memory_tokens,
             job.rank_at(now_ms),
         )
-        self.queues[found.life].append(Sent(node, job, found, ticket, float(PROMPT)))
-        return found
+        self.queues[chosen.life].append(
+            QueuedRequest(node, job, chosen, ticket, float(PROMPT_TOKENS))
+        )
+        return chosen
 
-    def run(self, for_ms: int, each_step: Callable[[int], None]) -> None:
-        """Let time pass; nodes report in rounds, runners read, callers leave.
+    def run(self, duration_ms: int, on_step: Callable[[int], None]) -> None:
+        """Advance the time: nodes send heartbeats in rounds, runners process queues, callers leave.
 
-        :param each_step: called with the time, to let requests arrive.
+        :param on_step: called with the time of each step, to let requests arrive.
         """
-        end_ms = self.clock.now_ms() + for_ms
+        end_ms = self.clock.now_ms() + duration_ms
         while self.clock.now_ms() < end_ms:
             self.clock.advance(STEP_MS)
             now_ms = self.clock.now_ms()
             for number, node in enumerate(self.nodes):
                 if (now_ms + number * 70) % HEARTBEAT_INTERVAL_MS < STEP_MS:
-                    self._tell(node, now_ms)
-            each_step(now_ms)
+                    self._send_heartbeat(node, now_ms)
+            on_step(now_ms)
             for life in self.lives:
-                self._read(life, now_ms)
+                self._process_queue(life, now_ms)
 
-    def _tell(self, node: Node, now_ms: int) -> None:
-        report = node.report(now_ms)
-        by_name = {other.card.name: other for other in self.nodes if other is not node}
-        for name in node.rounds.next_peers(by_name, {HOLDER}, node.card.name == HOLDER):
-            by_name[name].view.receive(report, now_ms)
+    def _send_heartbeat(self, node: Node, now_ms: int) -> None:
+        heartbeat = node.heartbeat(now_ms)
+        peer_by_name = {other.card.name: other for other in self.nodes if other is not node}
+        for name in node.rounds.next_peers(peer_by_name, {HOLDER}, node.card.name == HOLDER):
+            peer_by_name[name].view.receive(heartbeat, now_ms)
 
-    def _read(self, life: ServerLife, now_ms: int) -> None:
+    def _process_queue(self, life: ServerLife, now_ms: int) -> None:
         queue = self.queues[life]
-        for waits in list(queue):
-            if now_ms >= waits.job.cancel_at_ms():
-                waits.node.in_flight.end(waits.ticket)
-                queue.remove(waits)
-                self.taken_back += 1
+        for request in list(queue):
+            if now_ms >= request.job.cancel_at_ms():
+                request.node.in_flight.end(request.ticket)
+                queue.remove(request)
+                self.cancelled += 1
                 self.lost += 1
-            elif now_ms >= waits.job.request.arrived_ms + LEAVES_MS:
-                waited_ms = now_ms - waits.ticket.sent_ms
-                waits.node.backlog.record_missing_first_event(waits.chosen, waited_ms, now_ms)
-                waits.node.in_flight.end(waits.ticket)
-                queue.remove(waits)
+            elif now_ms >= request.job.request.arrived_ms + CALLER_LEAVES_MS:
+                waited_ms = now_ms - request.ticket.sent_ms
+                request.node.backlog.record_missing_first_event(request.chosen, waited_ms, now_ms)
+                request.node.in_flight.end(request.ticket)
+                queue.remove(request)
                 self.lost += 1
-                self.lost_by_life[life] += 1
-        budget = self.tokens_per_ms * STEP_MS / self.slow.get(life, 1.0)
-        for waits in sorted(queue, key=lambda waits: waits.job.route.priority):
-            taken = min(budget, waits.left)
-            waits.left -= taken
-            budget -= taken
-            if waits.left <= 0:
-                self._first_event(waits, now_ms)
-                queue.remove(waits)
-
-    def _first_event(self, waits: Sent, now_ms: int) -> None:
-        self.read += 1
-        self.read_by_life[waits.chosen.life] += 1
-        self.waits_ms.append(now_ms - waits.job.request.arrived_ms)
-        waits.node.backlog.record_first_event(waits.chosen, now_ms - waits.ticket.sent_ms, now_ms)
-        waits.node.in_flight.end(waits.ticket)
+                self.caller_left_by_life[life] += 1
+        budget_tokens = self.tokens_per_ms * STEP_MS / self.slowdown_by_life.get(life, 1.0)
+        for request in sorted(queue, key=lambda request: request.job.route.priority):
+            processed_tokens = min(budget_tokens, request.remaining_tokens)
+            request.remaining_tokens -= processed_tokens
+            budget_tokens -= processed_tokens
+            if request.remaining_tokens <= 0:
+                self._record_first_event(request, now_ms)
+                queue.remove(request)
+
+    def _record_first_event(self, request: QueuedRequest, now_ms: int) -> None:
+        self.processed += 1
+        self.processed_by_life[request.chosen.life] += 1
+        self.waits_ms.append(now_ms - request.job.request.arrived_ms)
+        request.node.backlog.record_first_event(
+            request.chosen, now_ms - request.ticket.sent_ms, now_ms
+        )
+        request.node.in_flight.end(request.ticket)
--- a/tests/gateway/test_returning_callers.py
+++ b/tests/gateway/test_returning_callers.py
@@ -1,4 +1,4 @@
-"""Tests of how a caller that comes back after a refusal is told from one that comes first."""
+"""Tests that a caller that retries after a refusal is told apart from one that comes first."""
 
 from __future__ import annotations
 
@@ -26,51 +26,51 @@
 
 
 @attrs.define
-class NoPlaces:
-    """A chooser that refuses all and keeps what it was asked for."""
+class RefusingChooser:
+    """A chooser that refuses all requests and records them."""
 
     jobs: list[Job] = attrs.Factory(list)
 
     def choose(self, call, route, service, job, now_ms) -> NoServer:
         """Refuse a request."""
         self.jobs.append(job)
-        return NoServer("no place", 300)
+        return NoServer("no slot", 300)
 
 
-class NoAnswer:
-    """A caller that drops its answer."""
+class DiscardedReply:
+    """A reply that discards its answer."""
 
     started = False
     status = 0
     sent_bytes = 0
 
     def whole(self, *_: object) -> None:
-        """Take an answer."""
+        """Discard an answer."""
 
 
-class NoRetries:
-    """A budget that counts nothing."""
+class NoRetryBudget:
+    """A retry budget that counts nothing."""
 
     def record_request(self, service: str) -> None:
-        """Count a request."""
+        """Do nothing."""
 
 
 class NoQuarantine:
-    """A quarantine that holds nothing."""
+    """A quarantine without requests."""
 
     def is_quarantined(self, fingerprint: str) -> bool:
-        """Refuse nothing."""
+        """Return ``False``."""
         return False
 
 
 @pytest.fixture
-def chooser() -> NoPlaces:
-    """Return a chooser that refuses all."""
-    return NoPlaces()
+def chooser() -> RefusingChooser:
+    """Return a chooser that refuses all requests."""
+    return RefusingChooser()
 
 
 @pytest.fixture
-def gateway(chooser: NoPlaces) -> Gateway:
+def gateway(chooser: RefusingChooser) -> Gateway:
     """Return a gateway at time 10,000."""
     clock = ManualClock(10_000)
     in_flight = InFlight()
@@ -82,7 +82,7 @@
         Pools(clock),
         in_flight,
         Backlog(in_flight, FleetView("n")),
-        NoRetries(),
+        NoRetryBudget(),
         NoQuarantine(),
         chooser,
         chooser,
@@ -91,50 +91,55 @@
     )
 
 
-def ask(gateway: Gateway, deadline_ms: int) -> None:
-    """Send a request that arrives now."""
+def send_request(gateway: Gateway, deadline_ms: int) -> None:
+    """Let a request with a deadline arrive now."""
     headers = [
         (b"Host", b"h"),
         (b"X-Request-Id", b"r1"),
         (b"X-Deadline-Ms", b"%d" % deadline_ms),
     ]
     request = Request(b"POST", b"/a/", "1.1", headers, b"", True, 10_000)
-    gateway.handle(request, NoAnswer())
+    gateway.handle(request, DiscardedReply())
 
 
-def test_a_caller_that_comes_back_is_not_taken_for_new(gateway: Gateway, chooser: NoPlaces):
-    """Refused in a rush, a caller comes back with 1 s left of its 4 s: its answer is late already.
+def test_a_returning_caller_does_not_count_as_new(gateway: Gateway, chooser: RefusingChooser):
+    """A caller that was refused in a rush retries with 1 s left of its 4 s, so it is already late.
 
-    Its latency objective counts from its first try. Counted from its arrival here, it would get a
-    place before callers that can still be answered in time, and they would be late as well.
+    Its latency objective counts from its first attempt. If it counted from the arrival of the
+    retry, the caller would get a slot before callers that can still be answered in time, and those
+    would be late as well.
     """
     for _ in range(20):
-        ask(gateway, 4_000)
-    ask(gateway, 1_000)
+        send_request(gateway, 4_000)
+    send_request(gateway, 1_000)
     assert [job.objective_deadline_ms() for job in chooser.jobs[-2:]] == [10_800, 7_800]
 
 
-def test_many_that_come_back_do_not_pass_for_first_ones():
-    """In a rush nine of ten requests are repetitions: the tenth still tells the usual deadline."""
-    usual = TypicalCallerTimeouts()
-    waited = [usual.estimate_waited_ms("r", 4_000 if i % 8 == 0 else 1_500) for i in range(200)]
-    assert waited[-1] == 2_500
+def test_retries_are_recognised_even_if_most_requests_are_retries():
+    """In a rush nine of ten requests are retries; the tenth still shows the typical deadline."""
+    deadlines = TypicalCallerTimeouts()
+    waited_ms = [
+        deadlines.estimate_waited_ms("r", 4_000 if i % 8 == 0 else 1_500) for i in range(200)
+    ]
+    assert waited_ms[-1] == 2_500
 
 
-def test_one_caller_with_a_long_deadline_does_not_age_the_others():
-    """A batch job names a minute where all others name 4 s: they are not 56 s old."""
-    usual = TypicalCallerTimeouts()
+def test_one_caller_with_a_long_deadline_does_not_make_others_look_late():
+    """A batch job has a deadline of 60 s, all others of 4 s: they have not been trying for 56 s."""
+    deadlines = TypicalCallerTimeouts()
     for i in range(100):
-        waited_ms = usual.estimate_waited_ms("r", 60_000 if i % 25 == 24 else 4_000)
-    assert usual.estimate_waited_ms("r", 4_000) == 0 and waited_ms == 0
+        waited_ms = deadlines.estimate_waited_ms("r", 60_000 if i % 25 == 24 else 4_000)
+    assert deadlines.estimate_waited_ms("r", 4_000) == 0 and waited_ms == 0
 
 
-def test_callers_that_wait_differently_long_are_all_new(gateway: Gateway, chooser: NoPlaces):
-    """Callers of one route wait between 12.7 and 15 s; none has tried before.
+def test_callers_with_different_deadlines_all_count_as_new(
+    gateway: Gateway, chooser: RefusingChooser
+):
+    """Callers of one route have deadlines between 12.7 and 15 s, and none has tried before.
 
-    Told by its deadline, one that waits 12.7 s seems to have tried for 2.3 s: late already, it gets
-    a place after all others.
+    Judged by its deadline alone, a caller with 12.7 s would seem to have been trying for 2.3 s. It
+    would count as late and get a slot after all others.
     """
     for number in range(80):
-        ask(gateway, 15_000 - 29 * (number * 37 % 80))
+        send_request(gateway, 15_000 - 29 * (number * 37 % 80))
     assert {job.objective_deadline_ms() for job in chooser.jobs[16:]} == {10_800}
