--- a/monsoonflow/discovery/registry.py
+++ b/monsoonflow/discovery/registry.py
@@ -83,7 +83,7 @@
             return
         self._store(server, now_ms)
         if server.is_leaving:
-            self.mark_leaving(server.life, now_ms, "announced by the server")
+            self.mark_leaving(server.life, now_ms, "said so")
         elif known is None:
             log(
                 _LOGGER,
@@ -243,7 +243,7 @@
         return now_ms - earlier.first_seen_ms >= EARLIER_LIFE_ACCEPT_MS
 
     def _replace_life(self, previous: ServerLife, life: ServerLife, now_ms: int) -> None:
-        self.mark_leaving(previous, now_ms, f"restarted as {life}")
+        self.mark_leaving(previous, now_ms, f"started again as {life}")
         self._forget(previous)
         self._left_ms_by_life.pop(life, None)
         self._restarted_ms_by_life[life] = now_ms
--- a/monsoonflow/gateway/handler.py
+++ b/monsoonflow/gateway/handler.py
@@ -201,7 +201,7 @@
         if not self._quarantine.is_quarantined(job.fingerprint):
             return False
         self._finish_unserved(
-            job, reply, "servers crashed on this request", QUARANTINE_RETRY_AFTER_MS
+            job, reply, "servers end under this request", QUARANTINE_RETRY_AFTER_MS
         )
         return True
 
@@ -459,10 +459,10 @@
 
     def _finish_timed_out(self, job: Job, reply: Reply) -> None:
         if job.may_have_run and not reply.started:
-            self._send_own_answer(reply, job.call, 504, "timed out")
-            self._request_log.log_ended(job, reply, "failed", "timed out")
+            self._send_own_answer(reply, job.call, 504, "time over")
+            self._request_log.log_ended(job, reply, "failed", "time over")
             return
-        self._finish_unserved(job, reply, "timed out", NOT_READY_RETRY_AFTER_MS)
+        self._finish_unserved(job, reply, "time over", NOT_READY_RETRY_AFTER_MS)
 
     def _finish_unserved(self, job: Job, reply: Reply, reason: str, retry_after_ms: int) -> None:
         """Answer a request that can't be served, with the time of a retry if nothing ran."""
