--- a/measure/bounds.py
+++ b/measure/bounds.py
@@ -91,7 +91,7 @@
 
 def knows(server_id: str) -> Callable[[Node], bool]:
     """Return what tells whether a node knows a server."""
-    return lambda node: node.beliefs.book.life_of(server_id) is not None
+    return lambda node: node.beliefs.server_registry.life_of(server_id) is not None
 
 
 CASES: Final = (calm, gone, poked, silent, untold, half_told, joined)
--- a/measure/desk.py
+++ b/measure/desk.py
@@ -19,9 +19,9 @@
 
 from measure.desk_load import HolderLoad, Size  # noqa: E402
 from measure.output import show  # noqa: E402
-from monsoonflow.entry.duties import Duties  # noqa: E402
-from monsoonflow.entry.own_word import OwnWord  # noqa: E402
+from monsoonflow.entry.cell_leases import CellLeases  # noqa: E402
 from monsoonflow.entry.residency import Residency  # noqa: E402
+from monsoonflow.entry.residency_reporter import ResidencyReporter  # noqa: E402
 from monsoonflow.fleet import codec  # noqa: E402
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS  # noqa: E402
 from monsoonflow.fleet.view import FleetView  # noqa: E402
@@ -35,13 +35,13 @@
 PARTS: Final[tuple[tuple[str, Any, str], ...]] = (
     ("decoding reports", codec, "decode"),
     ("taking reports", FleetView, "receive"),
-    ("adding up work", Duties, "_work"),
+    ("adding up work", CellLeases, "_total_work"),
     ("asking", AdapterScheduler, "request_slot"),
     ("settling", AdapterScheduler, "process_queue"),
     ("planning", AdapterScheduler, "plan"),
-    ("telling what runners hold", Duties, "told_residency"),
-    ("telling what runners hold", OwnWord, "news"),
-    ("telling what runners hold", Residency, "take"),
+    ("telling what runners hold", CellLeases, "own_residency"),
+    ("telling what runners hold", ResidencyReporter, "report_changes"),
+    ("telling what runners hold", Residency, "apply_report"),
 )
 """The holder's parts: none of them gives way to other tasks."""
 
@@ -91,7 +91,7 @@
 def _sample_for_good(load: HolderLoad, waiting: list[int]) -> None:
     while True:
         gevent.sleep(SAMPLE_S)
-        waiting.append(len(load.duty.desk.queued_requests))
+        waiting.append(len(load.duty.scheduler.queued_requests))
 
 
 def _measure(size: Size, meter: Meter, profile: cProfile.Profile | None) -> None:
--- a/measure/desk_load.py
+++ b/measure/desk_load.py
@@ -19,7 +19,7 @@
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.discovery.models import BackendServer
 from monsoonflow.discovery.registry import ServerRegistry
-from monsoonflow.entry.duties import Duties, Duty
+from monsoonflow.entry.cell_leases import CellLease, CellLeases
 from monsoonflow.entry.settings import PeerBounds
 from monsoonflow.fleet import codec
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS
@@ -93,23 +93,23 @@
     """The loop of a duty that stays this node's."""
 
     def __init__(self) -> None:
-        self.held = SimpleNamespace(row=SimpleNamespace(epoch=1))
-        self.loaded = self.store_reached = True
+        self.held_lease = SimpleNamespace(row=SimpleNamespace(epoch=1))
+        self.loaded = self.store_reachable = True
 
     def holds(self, now_ms: int) -> bool:
         return True
 
-    def claim(self) -> None:
+    def current_claim(self) -> None:
         return None
 
     def step(self) -> None:
         """Nothing is to be renewed."""
 
 
-class _HoldersDuties(Duties):
+class _HoldersDuties(CellLeases):
     """The duties of a node that holds all of them from the start."""
 
-    def _new_loop(self, cell: str) -> Any:
+    def _create_lease_loop(self, cell: str) -> Any:
         return _HeldDuty()
 
 
@@ -247,7 +247,7 @@
         reply = _Reply()
         body = orjson.dumps(self.question(adapter))
         self.asked += 1
-        self.duties.answer_placement(SimpleNamespace(body=body), reply)
+        self.duties.answer_slot_request(SimpleNamespace(body=body), reply)
         self.wait_ms += self.clock.now_ms() - began_ms
         self.placed += reply.status == 200
         self.refused += reply.status == 429
@@ -287,15 +287,15 @@
 
     def holders_report(self) -> bytes:
         """Return the bytes of the holder's own report."""
-        residency = self.duties.told_residency()
+        residency = self.duties.own_residency()
         work = self.in_flight.work_by_server
         report = Heartbeat(_card(HOLDER), 1, True, False, 1, True, work, residency=residency)
         return codec.encode_heartbeat(report)
 
     @property
-    def duty(self) -> Duty:
+    def duty(self) -> CellLease:
         """Return the duty that is held."""
-        return self.duties.duty_of(CELL)
+        return self.duties.lease_of(CELL)
 
     def _stand_in_daemon(self) -> Any:
         traits: EngineTraits = attrs.evolve(TRAITS, adapter_slots=self.size.places)
@@ -309,14 +309,14 @@
             tasks=_Tasks(),
             view=self.view,
             in_flight=self.in_flight,
-            beliefs=SimpleNamespace(
-                book=book,
+            cluster_state=SimpleNamespace(
+                server_registry=book,
                 version_by_adapter={},
-                passed_for=lambda ref, longer_than_ms: False,
-                table=SimpleNamespace(service_by_name={CELL: service}),
+                has_been_superseded_for=lambda ref, longer_than_ms: False,
+                route_table=SimpleNamespace(service_by_name={CELL: service}),
             ),
             settings=SimpleNamespace(name=HOLDER, bounds=PeerBounds()),
-            followed=None,
+            store_watches=None,
             gossip=SimpleNamespace(send_round=lambda: None),
             metrics=SimpleNamespace(orders=_Metric(), order_time=_Metric()),
         )
--- a/monsoonflow/entry/address.py
+++ b/monsoonflow/entry/address_directory.py
@@ -15,14 +15,14 @@
 MAX_ADDRESSES: Final = 64
 """More than a caller needs; it picks one at random for each connection."""
 
-TTL_MS: Final = 2_000
+MAX_TTL_MS: Final = 2_000
 """How long an answer may be kept: a node that stops is out of use a few seconds later."""
 
-CHANGES_EVERY_MS: Final = 10_000
+MIN_LOG_INTERVAL_MS: Final = 10_000
 """A change of the named nodes is logged so often at most, for each data centre."""
 
 
-class AddressBook:
+class AddressDirectory:
     """The entry nodes that take callers now.
 
     :param own_ready: tells whether this node takes callers itself.
@@ -36,19 +36,19 @@
         view: FleetView,
         clock: Clock,
         own_address: str,
-        own_ready: Callable[[], bool],
-        ttl_ms: int,
+        is_own_node_ready: Callable[[], bool],
+        max_ttl_ms: int,
         data_centre: str,
         own_lag_ms: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._view = view
         self._clock = clock
         self._own_address = own_address
-        self._own_ready = own_ready
-        self._ttl_s = min(TTL_MS, ttl_ms) / 1000
+        self._is_own_node_ready = is_own_node_ready
+        self._ttl_s = min(MAX_TTL_MS, max_ttl_ms) / 1000
         self._data_centre = data_centre
         self._own_lag_ms = own_lag_ms
-        self._named_by_data_centre: dict[str, frozenset[str]] = {}
+        self._advertised_by_data_centre: dict[str, frozenset[str]] = {}
         self._logged_ms_by_data_centre: dict[str, int] = {}
 
     def choose(self, data_centre: str | None = None) -> tuple[list[str], float]:
@@ -61,18 +61,18 @@
         known = {candidate.data_centre for candidate in candidates}
         near = data_centre if data_centre in known else self._data_centre
         found = advertised_nodes(candidates, near)
-        self._note(near, found, len(candidates), now_ms)
+        self._log_changes(near, found, len(candidates), now_ms)
         return [candidate.address for candidate in found[:MAX_ADDRESSES]], self._ttl_s
 
-    def named_by_data_centre(self) -> dict[str, int]:
+    def advertised_counts(self) -> dict[str, int]:
         """Return how many nodes were last named, by data centre."""
-        return {where: len(names) for where, names in self._named_by_data_centre.items()}
+        return {where: len(names) for where, names in self._advertised_by_data_centre.items()}
 
     def _candidates(self, now_ms: int) -> list[CandidateNode]:
         view = self._view
         holders = view.holder_names()
         found = []
-        if self._own_ready():
+        if self._is_own_node_ready():
             found.append(
                 CandidateNode(
                     view.name,
@@ -99,17 +99,17 @@
             )
         return found
 
-    def _note(self, near: str, found: list[CandidateNode], of: int, now_ms: int) -> None:
+    def _log_changes(self, near: str, found: list[CandidateNode], of: int, now_ms: int) -> None:
         """Log that other nodes are named than before, at times."""
         names = frozenset(candidate.name for candidate in found)
-        before = self._named_by_data_centre.get(near)
+        before = self._advertised_by_data_centre.get(near)
         if names == before:
             return
         logged_ms = self._logged_ms_by_data_centre.get(near)
-        if logged_ms is not None and now_ms - logged_ms < CHANGES_EVERY_MS:
+        if logged_ms is not None and now_ms - logged_ms < MIN_LOG_INTERVAL_MS:
             return
         self._logged_ms_by_data_centre[near] = now_ms
-        self._named_by_data_centre[near] = names
+        self._advertised_by_data_centre[near] = names
         log(
             _LOGGER,
             events.CallersNamed(
--- a/monsoonflow/entry/duties.py
+++ b/monsoonflow/entry/cell_leases.py
@@ -22,10 +22,10 @@
 from ..storage.models import ChangedRow
 from ..transport.models import Request
 from ..transport.server import Reply
-from .lease_loop import DUTY_PREFIX, DutyLoop
-from .own_word import OwnWord
+from .lease_loop import CELL_LEASE_PREFIX, CellLeaseLoop
 from .plan_pause import pause_after_plan_ms
 from .residency import Residency
+from .residency_reporter import ResidencyReporter
 from .settings import PeerBounds
 
 if TYPE_CHECKING:
@@ -34,27 +34,27 @@
 from ..logs import events, log
 
 _LOGGER = logging.getLogger(__name__)
-LEASE_STEP_MS: Final = 100
-SUMMARY_EVERY_MS: Final = 1_000
-PLAN_EVERY_MS: Final = 100
+LEASE_CHECK_INTERVAL_MS: Final = 100
+SUMMARY_INTERVAL_MS: Final = 1_000
+MAX_PLAN_INTERVAL_MS: Final = 100
 """Longest pause between two looks at what is to be ordered; news wakes it at once."""
 
-SETTLE_EVERY_MS: Final = 30
+QUEUE_CHECK_INTERVAL_MS: Final = 30
 """How often all who wait are looked at. Who waits for an adapter that has just come is answered at
 once; this finds who is out of hope, a tenth of the shortest wait that is given to a caller."""
 
-CLOSE_SHARE: Final = 0.55
+RETIRE_SHARE: Final = 0.55
 """Share of the bound on new versions after which runners are told to drop an older one: shortly
 after nodes send nothing more for it, and early enough that a lost order is repeated or a new holder
 gives it."""
 
-GIVE_UP_STEP_MS: Final = 50
+RELEASE_CHECK_INTERVAL_MS: Final = 50
 """How often a stopping holder looks whether the store is back: a quarter of a round of reports."""
 
-REFUSED_RETRY_MS: Final = 500
+REFUSED_RETRY_AFTER_MS: Final = 500
 
 
-def _reading(question: dict[str, Any], now_ms: int) -> dict[str, Any]:
+def _prefill_fields(question: dict[str, Any], now_ms: int) -> dict[str, Any]:
     """Return what a question tells of its prompt; a node of an earlier release tells nothing."""
     if question.get("read_ms") is None:
         return {}
@@ -66,63 +66,65 @@
     }
 
 
-class Duty:
+class CellLease:
     """The duty of one cell: all runners of one service."""
 
-    def __init__(self, service: Service, loop: DutyLoop, newest: dict[str, int]) -> None:
+    def __init__(
+        self, service: Service, lease_loop: CellLeaseLoop, newest_versions: dict[str, int]
+    ) -> None:
         self.service = service
-        self.loop = loop
-        self.newest = newest
-        self.desk: AdapterScheduler | None = None
+        self.lease_loop = lease_loop
+        self.newest_versions = newest_versions
+        self.scheduler: AdapterScheduler | None = None
         self.epoch = 0
-        self.summarised_ms = 0
-        self.settled_ms = 0
-        self.own_word = OwnWord()
+        self.last_summary_ms = 0
+        self.last_queue_check_ms = 0
+        self.residency_reporter = ResidencyReporter()
 
-    def close(self) -> None:
+    def close_scheduler(self) -> None:
         """End the desk; who waits there asks again."""
-        desk, self.desk = self.desk, None
+        desk, self.scheduler = self.scheduler, None
         if desk is not None:
             desk.close()
 
 
-class Duties:
+class CellLeases:
     """The placement of adapters, by this node or by another."""
 
-    def __init__(self, daemon: EntryDaemon, control: RunnerControl) -> None:
+    def __init__(self, daemon: EntryDaemon, runner_control: RunnerControl) -> None:
         self._daemon = daemon
-        self._control = control
-        self._duty_by_cell: dict[str, Duty] = {}
-        self._wake = Event()
+        self._runner_control = runner_control
+        self._lease_by_cell: dict[str, CellLease] = {}
+        self._wake_event = Event()
         self.residency = Residency(daemon.clock)
-        self._rows: dict[str, ChangedRow] = {}
+        self._row_by_cell: dict[str, ChangedRow] = {}
         self._planned_work: dict[ServerLife, ServerWork] = {}
 
     def start(self) -> None:
         """Begin to look after duties."""
-        self._daemon.tasks.spawn(self._lease_for_good)
-        self._daemon.tasks.spawn(self._plan_for_good)
+        self._daemon.tasks.spawn(self._lease_check_loop)
+        self._daemon.tasks.spawn(self._plan_loop)
 
-    def wake(self) -> None:
+    def wake_planner(self) -> None:
         """Look at once at what is to be ordered."""
-        self._wake.set()
+        self._wake_event.set()
 
-    def own_row(self, row: ChangedRow) -> None:
+    def handle_row(self, row: ChangedRow) -> None:
         """Take a changed row of a duty."""
-        if not row.key.startswith(DUTY_PREFIX):
+        if not row.key.startswith(CELL_LEASE_PREFIX):
             return
-        cell = row.key.removeprefix(DUTY_PREFIX)
-        self._rows[cell] = row
-        duty = self._duty_by_cell.get(cell)
+        cell = row.key.removeprefix(CELL_LEASE_PREFIX)
+        self._row_by_cell[cell] = row
+        duty = self._lease_by_cell.get(cell)
         if duty is not None:
-            duty.loop.row_changed(row)
+            duty.lease_loop.handle_row(row)
 
-    def bounds_changed(self, bounds: PeerBounds) -> None:
+    def update_bounds(self, bounds: PeerBounds) -> None:
         """Take changed bounds."""
-        for duty in self._duty_by_cell.values():
-            duty.loop.bounds_changed(bounds.lease_ms, bounds.fenced)
+        for duty in self._lease_by_cell.values():
+            duty.lease_loop.update_bounds(bounds.lease_ms, bounds.fenced)
 
-    def give_up(self, by_ms: int) -> None:
+    def release_all(self, by_ms: int) -> None:
         """Release all duties, each when the store can take the word.
 
         A duty let go while the store is lost is nobody's until the store is back: nobody could
@@ -130,83 +132,85 @@
 
         :param by_ms: when the process ends.
         """
-        for duty in self._duty_by_cell.values():
-            self._daemon.tasks.spawn(self._give_up, duty, by_ms)
+        for duty in self._lease_by_cell.values():
+            self._daemon.tasks.spawn(self._release_when_store_reachable, duty, by_ms)
 
-    def _give_up(self, duty: Duty, by_ms: int) -> None:
+    def _release_when_store_reachable(self, duty: CellLease, by_ms: int) -> None:
         clock = self._daemon.clock
-        while duty.loop.holds(clock.now_ms()) and clock.now_ms() < by_ms:
-            if not duty.loop.store_lost and duty.loop.store_reached:
+        while duty.lease_loop.holds(clock.now_ms()) and clock.now_ms() < by_ms:
+            if not duty.lease_loop.store_lost and duty.lease_loop.store_reachable:
                 break
-            self._daemon.tasks.sleep(GIVE_UP_STEP_MS)
-        duty.close()
-        row = duty.loop.let_go()
+            self._daemon.tasks.sleep(RELEASE_CHECK_INTERVAL_MS)
+        duty.close_scheduler()
+        row = duty.lease_loop.drop_lease()
         if row is not None:
-            duty.loop.release(*row)
+            duty.lease_loop.release_row(*row)
             self._daemon.gossip.send_round()
 
     def holds_any(self) -> bool:
         """Tell whether some duty is still this node's."""
-        return any(duty.loop.held.row is not None for duty in self._duty_by_cell.values())
+        return any(
+            duty.lease_loop.held_lease.row is not None for duty in self._lease_by_cell.values()
+        )
 
-    def duty_of(self, cell: str) -> Duty | None:
+    def lease_of(self, cell: str) -> CellLease | None:
         """Return what this node has of a cell's duty."""
-        return self._duty_by_cell.get(cell)
+        return self._lease_by_cell.get(cell)
 
     def holds_all(self) -> bool:
         """Tell whether all duties are this node's."""
-        return all(duty.desk is not None for duty in self._duty_by_cell.values())
+        return all(duty.scheduler is not None for duty in self._lease_by_cell.values())
 
     def other_holders(self) -> list[str]:
         """Return the other nodes that hold duties."""
-        claims = [self._daemon.view.claim_of(cell) for cell in self._duty_by_cell]
+        claims = [self._daemon.view.claim_of(cell) for cell in self._lease_by_cell]
         own = self._daemon.settings.name
         return [claim.holder for claim in claims if claim is not None and claim.holder != own]
 
     def claims(self) -> tuple[CellLeaseClaim, ...]:
         """Return the duties that this node holds, for the others."""
-        claims = [duty.loop.claim() for duty in self._duty_by_cell.values()]
+        claims = [duty.lease_loop.current_claim() for duty in self._lease_by_cell.values()]
         return tuple(claim for claim in claims if claim is not None)
 
-    def told_residency(self) -> tuple[ResidentAdapters, ...]:
+    def own_residency(self) -> tuple[ResidentAdapters, ...]:
         """Return what the runners of this node's duties hold, for the others."""
         return tuple(
             held
-            for duty in self._duty_by_cell.values()
-            if duty.desk is not None
-            for held in duty.own_word.of(duty.desk)
+            for duty in self._lease_by_cell.values()
+            if duty.scheduler is not None
+            for held in duty.residency_reporter.report(duty.scheduler)
         )
 
-    def crowded(self) -> OverloadedRunners | None:
+    def overloaded_runners(self) -> OverloadedRunners | None:
         """Return the runners of this node's duties with long queues, for the others.
 
         As of the last plan: to add up all nodes' work once more for each report costs as much as a
         plan does.
         """
-        if all(duty.desk is None for duty in self._duty_by_cell.values()):
+        if all(duty.scheduler is None for duty in self._lease_by_cell.values()):
             return None
         now_ms = self._daemon.clock.now_ms()
         pace = self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms)
         return overloaded_runners(self._planned_work, pace)
 
-    def doubt(self, life: ServerLife, adapter: str) -> None:
+    def mark_unconfirmed(self, life: ServerLife, adapter: str) -> None:
         """Take that a runner lacks an adapter: what its desk believes of it is looked at again."""
-        for duty in self._duty_by_cell.values():
-            if duty.desk is not None:
-                duty.desk.mark_unconfirmed(life, adapter, self._daemon.clock.now_ms())
-                self.wake()
+        for duty in self._lease_by_cell.values():
+            if duty.scheduler is not None:
+                duty.scheduler.mark_unconfirmed(life, adapter, self._daemon.clock.now_ms())
+                self.wake_planner()
 
-    def answer_placement(self, request: Request, reply: Reply) -> None:
+    def answer_slot_request(self, request: Request, reply: Reply) -> None:
         """Answer another node that needs an adapter."""
         if reply.caller_left():
             # Read late by a busy holder: a place would be kept for nobody.
             return
         try:
             question = orjson.loads(request.body)
-            duty = self._duty_by_cell.get(question["cell"])
+            duty = self._lease_by_cell.get(question["cell"])
             found = None
-            if duty is not None and duty.desk is not None:
-                found = self.ask_desk(duty, question)
+            if duty is not None and duty.scheduler is not None:
+                found = self.request_slot(duty, question)
         except (ValueError, KeyError, TypeError):
             reply.whole(400, [])
             return
@@ -219,151 +223,161 @@
             case None:
                 reply.whole(503, [], b"{}")
 
-    def ask_desk(self, duty: Duty, question: dict[str, Any]) -> Placed | NoSlot | None:
+    def request_slot(
+        self, lease: CellLease, slot_request: dict[str, Any]
+    ) -> Placed | NoSlot | None:
         """Let a request wait at this node's desk until it has a place or is refused."""
         now_ms = self._daemon.clock.now_ms()
         result: AsyncResult = AsyncResult()
         waiter = QueuedRequest(
-            adapter_name=question["adapter"],
-            min_version=question["version"],
-            priority=question["priority"],
-            first_attempt_ms=now_ms - question["waited_ms"] - question["tried_ms"],
-            on_time_until_ms=now_ms + question["on_time_ms"],
-            deadline_ms=now_ms + question["wait_ms"],
-            excluded_runners=frozenset(question["avoid"]),
+            adapter_name=slot_request["adapter"],
+            min_version=slot_request["version"],
+            priority=slot_request["priority"],
+            first_attempt_ms=now_ms - slot_request["waited_ms"] - slot_request["tried_ms"],
+            on_time_until_ms=now_ms + slot_request["on_time_ms"],
+            deadline_ms=now_ms + slot_request["wait_ms"],
+            excluded_runners=frozenset(slot_request["avoid"]),
             on_result=result.set,
-            session_key=question["session"],
-            tried_ms=question["tried_ms"],
-            **_reading(question, now_ms),
+            session_key=slot_request["session"],
+            tried_ms=slot_request["tried_ms"],
+            **_prefill_fields(slot_request, now_ms),
         )
-        desk = duty.desk
-        for life in question["lacking"]:
+        desk = lease.scheduler
+        for life in slot_request["lacking"]:
             desk.mark_unconfirmed(ServerLife(life), waiter.adapter_name, now_ms)
-        desk.request_slot(waiter, now_ms, self._work())
-        self.wake()
+        desk.request_slot(waiter, now_ms, self._total_work())
+        self.wake_planner()
         try:
-            return result.get(timeout=question["wait_ms"] / 1000)
+            return result.get(timeout=slot_request["wait_ms"] / 1000)
         except gevent.Timeout:
-            return NoSlot(REFUSED_RETRY_MS)
+            return NoSlot(REFUSED_RETRY_AFTER_MS)
         finally:
             desk.remove_request(waiter, self._daemon.clock.now_ms())
 
-    def _lease_for_good(self) -> None:
+    def _lease_check_loop(self) -> None:
         while True:
-            self._daemon.tasks.sleep(LEASE_STEP_MS)
-            self._match_services()
-            for duty in list(self._duty_by_cell.values()):
-                followed = self._daemon.followed
-                duty.loop.loaded = duty.loop.loaded or (
+            self._daemon.tasks.sleep(LEASE_CHECK_INTERVAL_MS)
+            self._create_missing_leases()
+            for duty in list(self._lease_by_cell.values()):
+                followed = self._daemon.store_watches
+                duty.lease_loop.loaded = duty.lease_loop.loaded or (
                     followed is not None and followed.own.loaded
                 )
-                duty.loop.store_reached = followed is not None and followed.reaches_store()
-                duty.loop.step()
+                duty.lease_loop.store_reachable = followed is not None and followed.reaches_store()
+                duty.lease_loop.step()
 
-    def _match_services(self) -> None:
-        table = self._daemon.beliefs.table
+    def _create_missing_leases(self) -> None:
+        table = self._daemon.cluster_state.route_table
         if table is None:
             return
         for service in table.service_by_name.values():
             if service.engine is None:
                 continue
-            duty = self._duty_by_cell.get(service.name)
+            duty = self._lease_by_cell.get(service.name)
             if duty is None:
-                duty = Duty(service, self._new_loop(service.name), {})
-                self._duty_by_cell[service.name] = duty
-                row = self._rows.get(service.name)
+                duty = CellLease(service, self._create_lease_loop(service.name), {})
+                self._lease_by_cell[service.name] = duty
+                row = self._row_by_cell.get(service.name)
                 if row is not None:
-                    duty.loop.row_changed(row)
+                    duty.lease_loop.handle_row(row)
             duty.service = service
 
-    def _new_loop(self, cell: str) -> DutyLoop:
+    def _create_lease_loop(self, cell: str) -> CellLeaseLoop:
         daemon = self._daemon
-        return DutyLoop(
+        return CellLeaseLoop(
             cell,
             daemon.settings.name,
-            daemon.boot,
+            daemon.boot_id,
             daemon.settings.bounds.lease_ms,
             daemon.settings.bounds.fenced,
-            daemon.table,
+            daemon.store_table,
             daemon.view,
             daemon.clock,
-            daemon.ready,
-            daemon.pulse.steady,
-            self._won,
+            daemon.is_ready,
+            daemon.stall_detector.is_steady,
+            self._handle_lease_won,
         )
 
-    def _won(self) -> None:
+    def _handle_lease_won(self) -> None:
         """Begin at once, and tell the others where to ask: requests wait for a holder."""
-        self.wake()
+        self.wake_planner()
         self._daemon.gossip.send_round()
 
-    def _plan_for_good(self) -> None:
+    def _plan_loop(self) -> None:
         while True:
-            self._wake.wait(PLAN_EVERY_MS / 1000)
-            self._wake.clear()
+            self._wake_event.wait(MAX_PLAN_INTERVAL_MS / 1000)
+            self._wake_event.clear()
             now_ms = self._daemon.clock.now_ms()
             work: dict[ServerLife, ServerWork] | None = None
-            for duty in list(self._duty_by_cell.values()):
-                if not self._keep_desk(duty, now_ms):
+            for duty in list(self._lease_by_cell.values()):
+                if not self._sync_scheduler(duty, now_ms):
                     continue
-                work = self._work() if work is None else work
+                work = self._total_work() if work is None else work
                 self._planned_work = work
                 self._plan(duty, now_ms, work)
-            self._take_told(now_ms)
+            self._apply_peer_residency(now_ms)
             # What is news meanwhile is planned for together: in a rush a plan for each would take
             # all of the processor, and the answers to its own orders would wait for it.
             took_ms = self._daemon.clock.now_ms() - now_ms
             if took_ms:
                 self._daemon.tasks.sleep(pause_after_plan_ms(took_ms))
 
-    def _keep_desk(self, duty: Duty, now_ms: int) -> bool:
+    def _sync_scheduler(self, duty: CellLease, now_ms: int) -> bool:
         """Open a desk when the duty is won, close it when it is lost."""
-        if not duty.loop.holds(now_ms):
-            if duty.loop.held.row is None:
-                duty.close()
+        if not duty.lease_loop.holds(now_ms):
+            if duty.lease_loop.held_lease.row is None:
+                duty.close_scheduler()
             return False
-        epoch = duty.loop.held.row.epoch
+        epoch = duty.lease_loop.held_lease.row.epoch
         duty.epoch = epoch
-        if duty.desk is None:
-            duty.desk = AdapterScheduler(
+        if duty.scheduler is None:
+            duty.scheduler = AdapterScheduler(
                 duty.service.engine,
-                self._daemon.beliefs.version_by_adapter,
+                self._daemon.cluster_state.version_by_adapter,
                 self._daemon.settings.bounds.load_window_ms,
-                self._version_over,
+                self._is_retired,
                 now_ms,
             )
-        desk = duty.desk
-        present = {s.life for s in self._daemon.beliefs.book.servers_of(duty.service.name)}
+        desk = duty.scheduler
+        present = {
+            s.life for s in self._daemon.cluster_state.server_registry.servers_of(duty.service.name)
+        }
         for life in present - desk.runners.keys():
             desk.add_runner(
-                life, self.residency.history(life), self._daemon.beliefs.book.restarted_ms(life)
+                life,
+                self.residency.history(life),
+                self._daemon.cluster_state.server_registry.restarted_ms(life),
             )
         for life in [known for known in desk.runners if known not in present]:
             desk.remove_runner(life)
             self.residency.forget(life)
         return True
 
-    def _version_over(self, ref: AdapterRef) -> bool:
-        after_ms = self._daemon.settings.bounds.version_ms * CLOSE_SHARE
-        return self._daemon.beliefs.passed_for(ref, after_ms)
+    def _is_retired(self, ref: AdapterRef) -> bool:
+        after_ms = self._daemon.settings.bounds.version_ms * RETIRE_SHARE
+        return self._daemon.cluster_state.has_been_superseded_for(ref, after_ms)
 
-    def _plan(self, duty: Duty, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
-        desk = duty.desk
+    def _plan(self, duty: CellLease, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
+        desk = duty.scheduler
         for life in desk.runners_needing_report(now_ms):
             desk.runners[life].has_call_in_progress = True
-            self._daemon.tasks.spawn(self._report, duty, desk, life)
-        if now_ms - duty.settled_ms >= SETTLE_EVERY_MS:
-            duty.settled_ms = now_ms
+            self._daemon.tasks.spawn(self._fetch_runner_report, duty, desk, life)
+        if now_ms - duty.last_queue_check_ms >= QUEUE_CHECK_INTERVAL_MS:
+            duty.last_queue_check_ms = now_ms
             desk.process_queue(now_ms, work)
         for step in desk.plan(now_ms, work):
-            self._daemon.tasks.spawn(self._order, duty, desk, step)
-        self.residency.take(duty.own_word.news(desk, now_ms))
-        if now_ms - duty.summarised_ms >= SUMMARY_EVERY_MS:
-            duty.summarised_ms = now_ms
-            self._summarise(duty, desk, now_ms, work)
-
-    def _summarise(
-        self, duty: Duty, desk: AdapterScheduler, now_ms: int, work: dict[ServerLife, ServerWork]
+            self._daemon.tasks.spawn(self._send_order, duty, desk, step)
+        self.residency.apply_report(duty.residency_reporter.report_changes(desk, now_ms))
+        if now_ms - duty.last_summary_ms >= SUMMARY_INTERVAL_MS:
+            duty.last_summary_ms = now_ms
+            self._log_summary(duty, desk, now_ms, work)
+
+    def _log_summary(
+        self,
+        duty: CellLease,
+        desk: AdapterScheduler,
+        now_ms: int,
+        work: dict[ServerLife, ServerWork],
     ) -> None:
         """Log how full the runners' seats are: the first question when requests wait."""
         seats = [seat for runner in desk.runners.values() for seat in runner.slots.values()]
@@ -398,28 +412,32 @@
             ),
         )
 
-    def _report(self, duty: Duty, desk: AdapterScheduler, life: ServerLife) -> None:
-        server = self._daemon.beliefs.book.server_by_life.get(life)
-        report = self._control.fetch_report(life, server.address) if server is not None else None
+    def _fetch_runner_report(
+        self, duty: CellLease, desk: AdapterScheduler, life: ServerLife
+    ) -> None:
+        server = self._daemon.cluster_state.server_registry.server_by_life.get(life)
+        report = (
+            self._runner_control.fetch_report(life, server.address) if server is not None else None
+        )
         if isinstance(report, Gone):
-            self._gone(desk, life)
+            self._handle_replaced_runner(desk, life)
             return
         now_ms = self._daemon.clock.now_ms()
-        book = self._daemon.beliefs.book
+        book = self._daemon.cluster_state.server_registry
         if report is not None and not book.confirm_life(report.life, report.models, now_ms):
             # Another life speaks: the one that is known, or one before it, is no more.
             report = None
         desk.handle_report(life, report, now_ms)
-        duty.settled_ms = 0
-        self.wake()
+        duty.last_queue_check_ms = 0
+        self.wake_planner()
 
-    def _order(self, duty: Duty, desk: AdapterScheduler, step: OrderStep) -> None:
+    def _send_order(self, duty: CellLease, desk: AdapterScheduler, step: OrderStep) -> None:
         daemon = self._daemon
-        server = daemon.beliefs.book.server_by_life.get(step.life)
-        if server is None or desk is not duty.desk:
+        server = daemon.cluster_state.server_registry.server_by_life.get(step.life)
+        if server is None or desk is not duty.scheduler:
             return
         # Looked at once more right before the send: the duty may have lapsed since the plan.
-        if not duty.loop.holds(daemon.clock.now_ms()):
+        if not duty.lease_loop.holds(daemon.clock.now_ms()):
             desk.runners[step.life].has_call_in_progress = False
             return
         order = Order(
@@ -431,9 +449,9 @@
             duty.epoch,
         )
         sent_ms = daemon.clock.now_ms()
-        answer = self._control.send_order(step.life, server.address, order)
+        answer = self._runner_control.send_order(step.life, server.address, order)
         if isinstance(answer, Gone):
-            self._gone(desk, step.life)
+            self._handle_replaced_runner(desk, step.life)
         now_ms = daemon.clock.now_ms()
         daemon.metrics.orders.labels(step.operation.value, type(answer).__name__.lower()).inc()
         daemon.metrics.order_time.observe((now_ms - sent_ms) / 1000)
@@ -452,30 +470,30 @@
                 ),
             )
         if not desk.handle_order_result(step, answer, now_ms) and isinstance(answer, Superseded):
-            duty.loop.superseded()
-            duty.close()
+            duty.lease_loop.handle_superseded()
+            duty.close_scheduler()
         elif isinstance(answer, Accepted) and answer.complete:
-            desk.process_queue_for_adapter(step.name, now_ms, self._work())
-        self.wake()
+            desk.process_queue_for_adapter(step.name, now_ms, self._total_work())
+        self.wake_planner()
 
-    def _gone(self, desk: AdapterScheduler, life: ServerLife) -> None:
+    def _handle_replaced_runner(self, desk: AdapterScheduler, life: ServerLife) -> None:
         """Take that another server answers at a runner's address."""
-        beliefs = self._daemon.beliefs
-        beliefs.book.mark_leaving(
+        beliefs = self._daemon.cluster_state
+        beliefs.server_registry.mark_leaving(
             life, self._daemon.clock.now_ms(), "another server at its address"
         )
         desk.remove_runner(life)
 
-    def _take_told(self, now_ms: int) -> None:
+    def _apply_peer_residency(self, now_ms: int) -> None:
         """Take what the holders of other cells told of their runners."""
-        for cell, duty in self._duty_by_cell.items():
-            if duty.desk is not None:
+        for cell, duty in self._lease_by_cell.items():
+            if duty.scheduler is not None:
                 continue
             told = self._daemon.view.residency(cell, now_ms)
             if told is not None:
-                self.residency.take_told(cell, told)
+                self.residency.apply_peer_report(cell, told)
 
-    def _work(self) -> dict[ServerLife, ServerWork]:
+    def _total_work(self) -> dict[ServerLife, ServerWork]:
         """Return what all nodes have in progress by server, to be read at once."""
         others = self._daemon.view.work_by_server(self._daemon.clock.now_ms())
         return sum_work(others, self._daemon.in_flight.work_by_server)
--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -40,28 +40,28 @@
 from ..transport.client import Pools
 from ..transport.models import MessageLimits
 from ..transport.server import Handler, Port
-from .activity import Activity
-from .address import AddressBook
-from .beliefs import Beliefs
-from .cards import CardKeeper
-from .duties import Duties
-from .following import Decoders, Followed, Following
+from .address_directory import AddressDirectory
+from .cell_leases import CellLeases
+from .cluster_state import ClusterState
 from .metrics import EntryMetrics
+from .node_activity import NodeActivity
+from .node_registration import NodeRegistration
 from .peers import PeerApi, PeerClient
-from .placing import Placing
-from .pulse import Pulse
+from .placement_client import PlacementClient
 from .settings import EntrySettings
+from .stall_detector import StallDetector
 from .stopping import stop_gracefully
+from .store_follower import Decoders, StoreFollower, StoreWatches
 
 _LOGGER = logging.getLogger(__name__)
-LEARN_AFTER_MS = 400
+PEER_SNAPSHOT_DELAY_MS = 400
 """How long a node that starts waits for the store before it asks other nodes: some ten answers."""
 
-SWEEP_EVERY_MS = 500
+MAINTENANCE_INTERVAL_MS = 500
 """How often resting connections and doubtful servers are looked through."""
 
 
-class Outside(Protocol):
+class PlatformIntegration(Protocol):
     """What a deployment's translation provides."""
 
     dialect: Dialect
@@ -110,82 +110,84 @@
     def __init__(
         self,
         settings: EntrySettings,
-        outside: Outside,
-        reread: Callable[[], EntrySettings | SettingError | None] = lambda: None,
+        integration: PlatformIntegration,
+        reread_settings: Callable[[], EntrySettings | SettingError | None] = lambda: None,
         tasks: Tasks | None = None,
     ) -> None:
         self.settings = settings
-        self._reread = reread
-        self.boot = new_id("b")
+        self._reread_settings = reread_settings
+        self.boot_id = new_id("b")
         self.clock: Clock = MonotonicClock()
         self.tasks: Tasks = tasks or GeventTasks()
         self.rng = random.Random()
-        self.leaving = False
+        self.is_leaving = False
         self.view = FleetView(settings.name, settings.cores)
-        self.beliefs = Beliefs(self.clock)
-        self.in_flight = InFlight(self._adapter_use_changed)
+        self.cluster_state = ClusterState(self.clock)
+        self.in_flight = InFlight(self._handle_adapter_use_change)
         self.backlog = Backlog(self.in_flight, self.view)
-        self.conditions = HealthTracker()
-        self.pools = Pools(self.clock)
+        self.health_tracker = HealthTracker()
+        self.connection_pools = Pools(self.clock)
         self.metrics = EntryMetrics()
-        self.pulse = Pulse(self.clock, self.tasks, settings.bounds.thaw_ms)
-        self._sequence = 0
-        self._stop = Event()
+        self.stall_detector = StallDetector(self.clock, self.tasks, settings.bounds.thaw_ms)
+        self._heartbeat_sequence = 0
+        self._stop_requested = Event()
         bounds = settings.bounds
-        self.budget = FleetRetryBudget(
+        self.retry_budget = FleetRetryBudget(
             RetryAllowance(bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window_ms),
             None if settings.first_start else self.clock.now_ms(),
         )
-        self.retries = SharedRetryBudget(
-            self.budget, self.view, self.clock, lambda: self.activity.active
+        self.shared_retries = SharedRetryBudget(
+            self.retry_budget, self.view, self.clock, lambda: self.activity.active
         )
-        self.table = SettlingTable(outside.raw_table(), self.tasks)
+        self.store_table = SettlingTable(integration.raw_table(), self.tasks)
         self.gossip = Gossip(
             settings.report_address,
             self.view,
-            self.report,
-            self._take_report,
+            self.heartbeat,
+            self._handle_heartbeat,
             self.tasks,
             self.clock,
-            self._work_change,
+            self._work_delta,
         )
-        self.quarantine = QuarantineManager(
+        self.quarantine_manager = QuarantineManager(
             settings.name,
-            CrashProbe(self.pools, self.clock),
-            self.table,
+            CrashProbe(self.connection_pools, self.clock),
+            self.store_table,
             self.tasks,
             self.clock,
             self.gossip.schedule_broadcast,
         )
-        self.peers = PeerClient(self.view, self.clock, outside.decoders.table)
-        self.duties = Duties(self, outside.runners())
-        self.following = Following(
-            outside.decoders,
-            self.beliefs,
+        self.peer_client = PeerClient(self.view, self.clock, integration.decoders.table)
+        self.cell_leases = CellLeases(self, integration.runners())
+        self.store_follower = StoreFollower(
+            integration.decoders,
+            self.cluster_state,
             self.view,
             self.clock,
-            self._own_row,
-            self.pools.forget,
-            self._news,
+            self._handle_own_row,
+            self.connection_pools.forget,
+            self._announce_store_changes,
             self.gossip.schedule_broadcast,
         )
-        self.activity = Activity(
+        self.activity = NodeActivity(
             self.view,
             self.in_flight,
-            self.budget,
+            self.retry_budget,
             self.clock,
-            lambda: self.following.watches,
-            self._look_for_servers,
+            lambda: self.store_follower.watches_servers,
+            self._refresh_servers,
         )
-        self.followed: Followed | None = None
-        self.cards = CardKeeper(self._card, self.table, self.view, self.tasks, self.clock)
-        self.ports = self._ports(outside)
-        self._watch_gauges(outside)
+        self.store_watches: StoreWatches | None = None
+        self.node_registration = NodeRegistration(
+            self._node_record, self.store_table, self.view, self.tasks, self.clock
+        )
+        self.ports = self._create_ports(integration)
+        self._register_gauges(integration)
 
     def run(self) -> int:
         """Serve until the word to stop; return the process's exit status."""
-        gevent.signal_handler(signal.SIGTERM, self._stop.set)
-        gevent.signal_handler(signal.SIGINT, self._stop.set)
+        gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
+        gevent.signal_handler(signal.SIGINT, self._stop_requested.set)
         # Without a handler the word that the settings have changed would end the process.
         gevent.signal_handler(signal.SIGHUP, self.reload)
         if not self.start():
@@ -194,7 +196,7 @@
         # processor time in the middle of requests.
         gc.collect()
         gc.freeze()
-        self._stop.wait()
+        self._stop_requested.wait()
         stop_gracefully(self)
         return 0
 
@@ -203,20 +205,22 @@
         for port in self.ports.all():
             if not port.start():
                 return False
-        self.tasks.spawn(self.pulse.run)
+        self.tasks.spawn(self.stall_detector.run)
         self.gossip.start()
-        self.followed = self.following.start(self._feed, self.tasks, self.settings.bounds.drain_ms)
-        self.tasks.spawn(self.cards.run)
-        self.tasks.spawn(self.quarantine.run)
-        self.tasks.spawn(self._learn_from_peers)
-        self.tasks.spawn(self._sweep_for_good)
-        self.tasks.spawn(self._fetch_for_good)
-        self.duties.start()
+        self.store_watches = self.store_follower.start(
+            self._open_feed, self.tasks, self.settings.bounds.drain_ms
+        )
+        self.tasks.spawn(self.node_registration.run)
+        self.tasks.spawn(self.quarantine_manager.run)
+        self.tasks.spawn(self._fetch_snapshot_loop)
+        self.tasks.spawn(self._maintenance_loop)
+        self.tasks.spawn(self._fetch_configuration_loop)
+        self.cell_leases.start()
         log(
             _LOGGER,
             events.Started(
                 node=self.settings.name,
-                boot=self.boot,
+                boot=self.boot_id,
                 callers=self.settings.callers_address,
                 peer=self.settings.peer_address,
                 cores=self.settings.cores,
@@ -226,111 +230,112 @@
 
     def reload(self) -> None:
         """Take changed settings; unusable ones are logged and the last good ones stay in force."""
-        changed = self._reread()
+        changed = self._reread_settings()
         if changed is None or changed == self.settings:
             return
         if isinstance(changed, SettingError):
             log(_LOGGER, events.UnusableSettings(cause=changed.line()))
             return
-        if changed.listens_at() != self.settings.listens_at():
+        if changed.immutable_settings() != self.settings.immutable_settings():
             log(_LOGGER, events.UnusableSettings(cause="addresses changed"))
             return
         self.settings = changed
         self.view.cores = changed.cores
         bounds = changed.bounds
-        self.budget.allowance = RetryAllowance(
+        self.retry_budget.allowance = RetryAllowance(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window_ms
         )
-        self.duties.bounds_changed(bounds)
+        self.cell_leases.update_bounds(bounds)
         log(_LOGGER, events.Reloaded(seeds=",".join(changed.seeds)))
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Tell whether callers should come here: a node that knows no routes refuses all."""
         return (
-            not self.leaving
-            and self.beliefs.table is not None
-            and self.followed is not None
-            and (self.followed.servers.loaded or self.peers.taught)
+            not self.is_leaving
+            and self.cluster_state.route_table is not None
+            and self.store_watches is not None
+            and (self.store_watches.servers.loaded or self.peer_client.has_snapshot)
         )
 
-    def report(self) -> Heartbeat:
+    def heartbeat(self) -> Heartbeat:
         """Return this node's word about itself."""
-        self._sequence += 1
-        claims = self.duties.claims()
-        self.view.record_sent(self._sequence, claims, self.clock.now_ms())
+        self._heartbeat_sequence += 1
+        claims = self.cell_leases.claims()
+        self.view.record_sent(self._heartbeat_sequence, claims, self.clock.now_ms())
         return Heartbeat(
-            record=self._card(),
-            sequence=self._sequence,
-            is_ready=self.ready(),
-            is_leaving=self.leaving,
-            config_version=self.report_version(),
-            is_store_reachable=self.followed is not None and self.followed.reaches_store(),
+            record=self._node_record(),
+            sequence=self._heartbeat_sequence,
+            is_ready=self.is_ready(),
+            is_leaving=self.is_leaving,
+            config_version=self.config_version(),
+            is_store_reachable=self.store_watches is not None
+            and self.store_watches.reaches_store(),
             work_by_server=self.in_flight.work_by_server,
-            retry_usage_by_service=self.budget.usage_by_service(self.clock.now_ms()),
-            departed_servers=self.beliefs.recent_left(),
-            versions=self.beliefs.recent_versions(),
+            retry_usage_by_service=self.retry_budget.usage_by_service(self.clock.now_ms()),
+            departed_servers=self.cluster_state.recently_departed_servers(),
+            versions=self.cluster_state.recent_versions(),
             claims=claims,
-            residency=self.duties.told_residency(),
+            residency=self.cell_leases.own_residency(),
             acks=self.view.holder_acks(),
-            added_servers=self.beliefs.recent_came(),
-            overloaded_runners=self.duties.crowded(),
-            lag_ms=round(self.pulse.lag_ms),
-            is_active=self.activity.look(),
-            retry_history=self.retries.retry_history(),
-            crashes=self.quarantine.own_crashes(),
-            quarantined_fingerprints=self.quarantine.announced_quarantined(),
+            added_servers=self.cluster_state.recently_added_servers(),
+            overloaded_runners=self.cell_leases.overloaded_runners(),
+            lag_ms=round(self.stall_detector.lag_ms),
+            is_active=self.activity.refresh(),
+            retry_history=self.shared_retries.retry_history(),
+            crashes=self.quarantine_manager.own_crashes(),
+            quarantined_fingerprints=self.quarantine_manager.announced_quarantined(),
         )
 
-    def _work_change(self) -> WorkDelta:
+    def _work_delta(self) -> WorkDelta:
         """Return what has changed of this node's work since this was last asked."""
-        self._sequence += 1
+        self._heartbeat_sequence += 1
         changed = self.in_flight.pop_changed()
-        return WorkDelta(self.settings.name, self.boot, self._sequence, changed)
+        return WorkDelta(self.settings.name, self.boot_id, self._heartbeat_sequence, changed)
 
-    def _look_for_servers(self) -> None:
-        if self.followed is not None:
-            self.followed.servers.poke()
+    def _refresh_servers(self) -> None:
+        if self.store_watches is not None:
+            self.store_watches.servers.poke()
 
-    def _own_row(self, row: ChangedRow) -> None:
-        if not self.quarantine.apply_row(row):
-            self.duties.own_row(row)
+    def _handle_own_row(self, row: ChangedRow) -> None:
+        if not self.quarantine_manager.apply_row(row):
+            self.cell_leases.handle_row(row)
 
-    def _take_report(self, report: Heartbeat) -> None:
-        self.following.take_report(report)
-        self.quarantine.apply_announced(
+    def _handle_heartbeat(self, report: Heartbeat) -> None:
+        self.store_follower.handle_heartbeat(report)
+        self.quarantine_manager.apply_announced(
             report.name, report.crashes, report.quarantined_fingerprints
         )
-        if self.beliefs.take_report(report) and self.followed is not None:
-            self.followed.servers.poke()
+        if self.cluster_state.handle_heartbeat(report) and self.store_watches is not None:
+            self.store_watches.servers.poke()
 
-    def _feed(self) -> ChangeFeed:
-        return self._outside.feed()
+    def _open_feed(self) -> ChangeFeed:
+        return self._integration.feed()
 
-    def _news(self) -> None:
+    def _announce_store_changes(self) -> None:
         """Tell the others what the store has just told this node."""
-        self.duties.wake()
+        self.cell_leases.wake_planner()
         self.gossip.send_round()
 
-    def _watch_gauges(self, outside: Outside) -> None:
+    def _register_gauges(self, outside: PlatformIntegration) -> None:
         def of(name: str, help_text: str, read: Callable[[], float]) -> None:
-            self.metrics.watch(name, help_text, read)
+            self.metrics.add_gauge(name, help_text, read)
 
-        beliefs, now_ms = self.beliefs, self.clock.now_ms
-        of("ready", "Whether callers should come here.", lambda: float(self.ready()))
-        of("config_version", "Configuration in force.", lambda: self.report_version())
-        of("servers", "Backend servers known.", lambda: len(beliefs.book.server_by_life))
+        beliefs, now_ms = self.cluster_state, self.clock.now_ms
+        of("ready", "Whether callers should come here.", lambda: float(self.is_ready()))
+        of("config_version", "Configuration in force.", lambda: self.config_version())
+        of("servers", "Backend servers known.", lambda: len(beliefs.server_registry.server_by_life))
         of("peers", "Other nodes heard.", lambda: len(self.view.heartbeats(now_ms())))
         of(
             "callers_named",
             "Nodes last named to callers, of all data centres.",
-            lambda: sum(self.addresses.named_by_data_centre().values()),
+            lambda: sum(self.address_directory.advertised_counts().values()),
         )
         of(
             "quarantined",
             "Requests that reach no server, since servers ended under them.",
-            lambda: len(self.quarantine.suspects.quarantined()),
+            lambda: len(self.quarantine_manager.suspects.quarantined()),
         )
-        of("duties", "Duties held.", lambda: len(self.duties.claims()))
+        of("duties", "Duties held.", lambda: len(self.cell_leases.claims()))
         of("in_progress", "Requests in progress.", lambda: self.ports.callers.active)
         of("store_calls", "Calls to the store since the start.", outside.store_calls)
         for kind in ("operator", "servers", "own"):
@@ -339,7 +344,11 @@
                 f"Since the store last answered a question about rows of the {kind}; -1: never.",
                 lambda kind=kind: self._answer_age_s(kind),
             )
-        of("connections_opened", "Connections to servers opened.", lambda: self.pools.opened)
+        of(
+            "connections_opened",
+            "Connections to servers opened.",
+            lambda: self.connection_pools.opened,
+        )
         of("report_bytes", "Bytes of reports sent.", lambda: self.gossip.sent_bytes)
 
     def _answer_age_s(self, kind: str) -> float:
@@ -347,25 +356,29 @@
         return -1.0 if age_ms is None else age_ms / 1000
 
     def _answer_age_ms(self, kind: str) -> int | None:
-        watch = getattr(self.followed, kind, None)
+        watch = getattr(self.store_watches, kind, None)
         return watch.answer_age_ms() if watch is not None else None
 
-    def report_version(self) -> int:
+    def config_version(self) -> int:
         """Return the version of the configuration in force; 0 without one."""
-        return self.beliefs.table.version if self.beliefs.table is not None else 0
+        return (
+            self.cluster_state.route_table.version
+            if self.cluster_state.route_table is not None
+            else 0
+        )
 
-    def _adapter_use_changed(self) -> None:
+    def _handle_adapter_use_change(self) -> None:
         """Tell the holders soon: a place whose use has ended is needed by others."""
-        if self.duties.holds_all():
-            self.duties.wake()
+        if self.cell_leases.holds_all():
+            self.cell_leases.wake_planner()
         else:
-            self.gossip.schedule_work_delta(self.duties.other_holders())
+            self.gossip.schedule_work_delta(self.cell_leases.other_holders())
 
-    def _card(self) -> NodeRecord:
+    def _node_record(self) -> NodeRecord:
         settings = self.settings
         return NodeRecord(
             settings.name,
-            self.boot,
+            self.boot_id,
             settings.data_centre,
             settings.callers_address,
             settings.peer_address,
@@ -373,10 +386,10 @@
             settings.cores,
         )
 
-    def _ports(self, outside: Outside) -> Ports:
-        self._outside = outside
+    def _create_ports(self, outside: PlatformIntegration) -> Ports:
+        self._integration = outside
         settings = self.settings
-        book, conditions = self.beliefs.book, self.conditions
+        book, conditions = self.cluster_state.server_registry, self.health_tracker
         plain = PlainServerChooser(
             book, self.in_flight, self.view, conditions, self.rng, settings.data_centre
         )
@@ -384,7 +397,7 @@
             book,
             self.backlog,
             conditions,
-            Placing(self),
+            PlacementClient(self),
             self.clock,
             self.rng,
             settings.data_centre,
@@ -392,34 +405,38 @@
         self.gateway = Gateway(
             self.clock,
             outside.dialect,
-            lambda: self.beliefs.table,
-            self.pools,
+            lambda: self.cluster_state.route_table,
+            self.connection_pools,
             self.in_flight,
             self.backlog,
-            self.retries,
-            self.quarantine,
+            self.shared_retries,
+            self.quarantine_manager,
             plain,
             engines,
             self.rng,
             RequestLog(self.clock, self.metrics, lambda: self._answer_age_ms("servers")),
         )
-        self.addresses = AddressBook(
+        self.address_directory = AddressDirectory(
             self.view,
             self.clock,
             settings.callers_address,
-            self.ready,
+            self.is_ready,
             settings.bounds.address_ttl_ms,
             settings.data_centre,
-            lambda: self.pulse.lag_ms,
+            lambda: self.stall_detector.lag_ms,
+        )
+        peer_api = PeerApi(
+            self.cluster_state, self.store_follower.snapshot, self.cell_leases.answer_slot_request
         )
-        peer_api = PeerApi(self.beliefs, self.following.teach, self.duties.answer_placement)
         usual = MessageLimits
         return Ports(
-            callers=Port(settings.callers_address, self.gateway.handle, self._limits, self.clock),
-            ready=Port(settings.ready_address, outside.readiness(self.ready), usual, self.clock),
+            callers=Port(
+                settings.callers_address, self.gateway.handle, self._message_limits, self.clock
+            ),
+            ready=Port(settings.ready_address, outside.readiness(self.is_ready), usual, self.clock),
             directory=Port(
                 settings.directory_address,
-                outside.directory(self.addresses.choose),
+                outside.directory(self.address_directory.choose),
                 usual,
                 self.clock,
             ),
@@ -427,36 +444,38 @@
             metrics=Port(settings.metrics_address, self.metrics.handle, usual, self.clock),
         )
 
-    def _limits(self) -> MessageLimits:
-        table = self.beliefs.table
+    def _message_limits(self) -> MessageLimits:
+        table = self.cluster_state.route_table
         return table.limits if table is not None else MessageLimits()
 
-    def _learn_from_peers(self) -> None:
+    def _fetch_snapshot_loop(self) -> None:
         """Learn what the others know when the store does not answer at the start."""
-        self.tasks.sleep(LEARN_AFTER_MS)
-        while not self.ready() and not self.leaving:
-            self.peers.learn(self.settings.seeds, self.settings.peer_address, self.following)
-            self.tasks.sleep(LEARN_AFTER_MS)
+        self.tasks.sleep(PEER_SNAPSHOT_DELAY_MS)
+        while not self.is_ready() and not self.is_leaving:
+            self.peer_client.fetch_snapshot(
+                self.settings.seeds, self.settings.peer_address, self.store_follower
+            )
+            self.tasks.sleep(PEER_SNAPSHOT_DELAY_MS)
 
-    def _sweep_for_good(self) -> None:
+    def _maintenance_loop(self) -> None:
         while True:
-            self.tasks.sleep(SWEEP_EVERY_MS)
+            self.tasks.sleep(MAINTENANCE_INTERVAL_MS)
             # The file may change without a signal.
             self.reload()
-            self.pools.sweep()
-            self.followed.servers.look_again()
-            for life in self.beliefs.book.pop_removed(self.clock.now_ms()):
-                self.duties.residency.forget(life)
-                self.pools.forget(life)
-                self.conditions.forget(life)
+            self.connection_pools.sweep()
+            self.store_watches.servers.look_again()
+            for life in self.cluster_state.server_registry.pop_removed(self.clock.now_ms()):
+                self.cell_leases.residency.forget(life)
+                self.connection_pools.forget(life)
+                self.health_tracker.forget(life)
                 self.backlog.forget(life)
 
-    def _fetch_for_good(self) -> None:
+    def _fetch_configuration_loop(self) -> None:
         """Fetch newer configurations from other nodes.
 
         Beside everything else: nodes that have fallen silent hold it up for a second each, and
         settings that had changed were read 4 s late.
         """
         while True:
-            self.tasks.sleep(SWEEP_EVERY_MS)
-            self.peers.fetch_newer(self.beliefs)
+            self.tasks.sleep(MAINTENANCE_INTERVAL_MS)
+            self.peer_client.fetch_newer_configuration(self.cluster_state)
--- a/monsoonflow/entry/metrics.py
+++ b/monsoonflow/entry/metrics.py
@@ -10,10 +10,25 @@
 from ..transport.models import Request
 from ..transport.server import Reply
 
-PATH: Final = b"/metrics"
-SECONDS: Final = (0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1.0, 1.5, 2.0, 4.0, 8.0, 16.0)
-SMALL_SECONDS: Final = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
-PREFIX: Final = "monsoonflow_entry_"
+METRICS_PATH: Final = b"/metrics"
+REQUEST_BUCKETS_S: Final = (
+    0.025,
+    0.05,
+    0.1,
+    0.2,
+    0.3,
+    0.4,
+    0.5,
+    0.75,
+    1.0,
+    1.5,
+    2.0,
+    4.0,
+    8.0,
+    16.0,
+)
+ORDER_BUCKETS_S: Final = (0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
+METRIC_PREFIX: Final = "monsoonflow_entry_"
 
 
 class EntryMetrics:
@@ -36,21 +51,24 @@
             "result",
         )
         self.first_answer = self._histogram(
-            "first_answer_seconds", "Arrival to the first byte of an answer.", SECONDS, "kind"
+            "first_answer_seconds",
+            "Arrival to the first byte of an answer.",
+            REQUEST_BUCKETS_S,
+            "kind",
         )
         self.whole_answer = self._histogram(
-            "whole_answer_seconds", "Arrival to the end of an answer.", SECONDS, "kind"
+            "whole_answer_seconds", "Arrival to the end of an answer.", REQUEST_BUCKETS_S, "kind"
         )
-        self.place_wait = self._histogram(
-            "place_wait_seconds", "Wait for a place for an adapter.", SECONDS, "result"
+        self.slot_wait = self._histogram(
+            "place_wait_seconds", "Wait for a place for an adapter.", REQUEST_BUCKETS_S, "result"
         )
         self.orders = self._counter(
             "orders", "Orders to runners by what and how they were answered.", "operation", "answer"
         )
         self.order_time = self._histogram(
-            "order_seconds", "Time of an order's answer.", SMALL_SECONDS
+            "order_seconds", "Time of an order's answer.", ORDER_BUCKETS_S
         )
-        self.tries = self._counter("tries", "Tries of requests at servers by result.", "result")
+        self.attempts = self._counter("tries", "Tries of requests at servers by result.", "result")
         self.retries = self._counter(
             "retries",
             "Further tries wanted, by whether the budget allowed them.",
@@ -77,7 +95,7 @@
 
     def count_attempt(self, result: str) -> None:
         """Count a try at a server."""
-        self.tries.labels(result).inc()
+        self.attempts.labels(result).inc()
 
     def count_retry(self, allowed: bool) -> None:
         """Count a wish to try again."""
@@ -87,22 +105,24 @@
         """Count a stream that goes on elsewhere."""
         self.resumes.inc()
 
-    def watch(self, name: str, help_text: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, help_text: str, read: Callable[[], float]) -> None:
         """Add a gauge that is read when it is asked for."""
-        Gauge(PREFIX + name, help_text, registry=self.registry).set_function(read)
+        Gauge(METRIC_PREFIX + name, help_text, registry=self.registry).set_function(read)
 
     def handle(self, request: Request, reply: Reply) -> None:
         """Answer with all metrics as text."""
-        if request.target.partition(b"?")[0] != PATH:
+        if request.target.partition(b"?")[0] != METRICS_PATH:
             reply.whole(404, [])
             return
         headers = [(b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8")]
         reply.whole(200, headers, generate_latest(self.registry))
 
     def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
-        return Counter(PREFIX + name, help_text, labels, registry=self.registry)
+        return Counter(METRIC_PREFIX + name, help_text, labels, registry=self.registry)
 
     def _histogram(
         self, name: str, help_text: str, buckets: tuple[float, ...], *labels: str
     ) -> Histogram:
-        return Histogram(PREFIX + name, help_text, labels, buckets=buckets, registry=self.registry)
+        return Histogram(
+            METRIC_PREFIX + name, help_text, labels, buckets=buckets, registry=self.registry
+        )
--- a/monsoonflow/entry/activity.py
+++ b/monsoonflow/entry/node_activity.py
@@ -10,7 +10,7 @@
 from ..routing.in_flight import InFlight
 
 
-class Activity:
+class NodeActivity:
     """Whether a node has callers or a part in duties; in a small fleet all count as such.
 
     :param watches: tells whether the others rely on this node to ask for servers.
@@ -25,22 +25,22 @@
         in_flight: InFlight,
         budget: FleetRetryBudget,
         clock: Clock,
-        watches: Callable[[], bool],
-        on_begin: Callable[[], None],
+        watches_servers: Callable[[], bool],
+        on_activated: Callable[[], None],
     ) -> None:
         self._view = view
         self._in_flight = in_flight
         self._budget = budget
         self._clock = clock
-        self._watches = watches
-        self._on_begin = on_begin
+        self._watches_servers = watches_servers
+        self._on_activated = on_activated
         self.active = False
 
-    def look(self) -> bool:
+    def refresh(self) -> bool:
         """Return whether this node is active now."""
         before, self.active = self.active, self._is_active()
         if self.active and not before:
-            self._on_begin()
+            self._on_activated()
         return self.active
 
     def _is_active(self) -> bool:
@@ -48,6 +48,6 @@
             self._view.is_small()
             or bool(self._in_flight.work_by_server)
             or self._budget.is_busy(self._clock.now_ms())
-            or self._watches()
+            or self._watches_servers()
             or self._view.name in self._view.holder_and_standby_names()
         )
--- a/monsoonflow/entry/peers.py
+++ b/monsoonflow/entry/peers.py
@@ -13,13 +13,13 @@
 from ..transport.client import Answer, Pools, call
 from ..transport.models import Lost, Request
 from ..transport.server import Reply
-from .beliefs import Beliefs
-from .following import Following
+from .cluster_state import ClusterState
+from .store_follower import StoreFollower
 
 _LOGGER = logging.getLogger(__name__)
 CONFIGURATION_PATH: Final = "/v1/peer/configuration"
-STATE_PATH: Final = "/v1/peer/state"
-PLACE_PATH: Final = "/v1/peer/place"
+SNAPSHOT_PATH: Final = "/v1/peer/state"
+SLOT_REQUEST_PATH: Final = "/v1/peer/place"
 FETCH_TIMEOUT_MS: Final = 1_000
 
 
@@ -33,19 +33,19 @@
         self._clock = clock
         self._pools = Pools(clock, max_idle=8)
         self._decode = decode
-        self.taught = False
+        self.has_snapshot = False
 
     def call(self, address: str, path: str, body: bytes, timeout_ms: int) -> Answer | Lost:
         """Make one call to another node."""
         method = "POST" if body else "GET"
         return call(self._pools, address, method, path, body, timeout_ms)
 
-    def fetch_newer(self, beliefs: Beliefs) -> None:
+    def fetch_newer_configuration(self, cluster_state: ClusterState) -> None:
         """Fetch the configuration from a node that has a newer one.
 
         A node that can't reach the store would otherwise go on with the old one.
         """
-        own = beliefs.table.version if beliefs.table is not None else 0
+        own = cluster_state.route_table.version if cluster_state.route_table is not None else 0
         now_ms = self._clock.now_ms()
         # Who was heard last first: a node that has just fallen silent still counts as heard, and an
         # answer is waited for in vain for a second.
@@ -64,10 +64,12 @@
             if isinstance(table, str):
                 log(_LOGGER, events.UnusablePeerConfiguration(cause=table))
                 continue
-            beliefs.take_table(table, answer.body, report.name)
+            cluster_state.apply_route_table(table, answer.body, report.name)
             return
 
-    def learn(self, seeds: tuple[str, ...], own_address: str, following: Following) -> None:
+    def fetch_snapshot(
+        self, seeds: tuple[str, ...], own_address: str, store_follower: StoreFollower
+    ) -> None:
         """Take what another node knows: a node that starts in an outage of the store knows nothing.
 
         :param seeds: addresses to try, in turn; some may be out of date.
@@ -76,11 +78,11 @@
         for address in dict.fromkeys([*seeds, *known]):
             if address == own_address:
                 continue
-            answer = self.call(address, STATE_PATH, b"", FETCH_TIMEOUT_MS)
+            answer = self.call(address, SNAPSHOT_PATH, b"", FETCH_TIMEOUT_MS)
             if isinstance(answer, Lost) or answer.head.status != 200:
                 continue
-            if following.taught(answer.body):
-                self.taught = True
+            if store_follower.apply_snapshot(answer.body):
+                self.has_snapshot = True
                 log(_LOGGER, events.LearntFromPeer(address=address))
                 return
 
@@ -94,23 +96,23 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
-        teach: Callable[[], bytes],
-        answer_placement: Callable[[Request, Reply], None],
+        cluster_state: ClusterState,
+        snapshot: Callable[[], bytes],
+        answer_slot_request: Callable[[Request, Reply], None],
     ) -> None:
-        self._beliefs = beliefs
-        self._teach = teach
-        self._answer_placement = answer_placement
+        self._cluster_state = cluster_state
+        self._snapshot = snapshot
+        self._answer_slot_request = answer_slot_request
 
     def handle(self, request: Request, reply: Reply) -> None:
         """Answer one call."""
         path = request.target.partition(b"?")[0].decode("latin-1")
-        beliefs = self._beliefs
-        if path == CONFIGURATION_PATH and beliefs.table is not None:
-            reply.whole(200, [], beliefs.table_body)
-        elif path == STATE_PATH and beliefs.table is not None:
-            reply.whole(200, [], self._teach())
-        elif path == PLACE_PATH:
-            self._answer_placement(request, reply)
+        beliefs = self._cluster_state
+        if path == CONFIGURATION_PATH and beliefs.route_table is not None:
+            reply.whole(200, [], beliefs.route_table_body)
+        elif path == SNAPSHOT_PATH and beliefs.route_table is not None:
+            reply.whole(200, [], self._snapshot())
+        elif path == SLOT_REQUEST_PATH:
+            self._answer_slot_request(request, reply)
         else:
             reply.whole(404, [])
--- a/monsoonflow/entry/placing.py
+++ b/monsoonflow/entry/placement_client.py
@@ -18,20 +18,20 @@
 from ..placement.request_queue import NoSlot, Placed
 from ..routing.routes import Route, Service
 from ..transport.models import Lost
-from .peers import PLACE_PATH
+from .peers import SLOT_REQUEST_PATH
 
 if TYPE_CHECKING:
     from .daemon import EntryDaemon
 
 _LOGGER = logging.getLogger(__name__)
-WAIT_SHARE: Final = 0.6
+SLOT_WAIT_SHARE: Final = 0.6
 """Share of the time left that a request waits for its adapter; the rest is for its answer."""
 
 RESUME_PRIORITY: Final = -1
 """Before the most urgent routes, which have 0."""
 
 NO_HOLDER_PAUSE_MS: Final = 60
-ASK_AGAIN_MS: Final = 800
+MAX_ANSWER_WAIT_MS: Final = 800
 """Longest wait for a holder's answer before it is asked again: one that was frozen meanwhile is
 silent by then, and another is asked."""
 
@@ -39,21 +39,21 @@
 """Share of the bound on new versions in which an older one may still begin a request; the rest is
 for requests on their way."""
 
-BEGINS_SHARE: Final = 0.8
+RECALL_SHARE: Final = 0.8
 """Share of the bound on new versions after which a request that still waits at a runner for an
 older one is taken back; the rest is for a node that learnt of the version late."""
 
-REFUSED_RETRY_MS: Final = 500
+REFUSED_RETRY_AFTER_MS: Final = 500
 
-STALE_MS: Final = 5_000
+RESIDENCY_STALE_MS: Final = 5_000
 """A holder's word on what runners hold that is older says nothing while the holder is heard: it
 tells all with callers each two seconds at most, and a datagram may be lost."""
 
-HOLDER_FRESH_MS: Final = 1_500
+MAX_RESIDENCY_LAG_MS: Final = 1_500
 """The word is no older for a holder that has fallen silent: what was known then goes on."""
 
 
-class Placing:
+class PlacementClient:
     """Where the adapters are, and the way to get one loaded."""
 
     def __init__(self, daemon: EntryDaemon) -> None:
@@ -61,38 +61,42 @@
 
     def runners_with_adapter(self, adapter: str) -> dict[str, int]:
         """Return the version of an adapter by the runner that can serve it now."""
-        held = self._held(adapter)
+        held = self._known_holders(adapter)
         wanted = self.wanted_version(adapter)
         if wanted is None:
             return held
         fresh = {life: version for life, version in held.items() if version >= wanted}
         return fresh or {
-            life: version for life, version in held.items() if not self._is_over(adapter, version)
+            life: version
+            for life, version in held.items()
+            if not self._is_too_old(adapter, version)
         }
 
-    def _held(self, adapter: str) -> dict[str, int]:
+    def _known_holders(self, adapter: str) -> dict[str, int]:
         """Return who holds an adapter by the word of their holder, as far as it is told.
 
         A node that had no callers until now was told no more than that the holder lives: what it
         knows may be minutes old, and it asks the holder.
         """
         daemon = self._daemon
-        held = daemon.duties.residency.holders(adapter)
+        held = daemon.cell_leases.residency.holders(adapter)
         now_ms = daemon.clock.now_ms()
         for life in list(held):
-            server = daemon.beliefs.book.server_by_life.get(life)
+            server = daemon.cluster_state.server_registry.server_by_life.get(life)
             claim = daemon.view.claim_of(server.service) if server is not None else None
             if claim is None or claim.holder == daemon.settings.name:
                 continue
             told_ms = daemon.view.residency_age_ms(claim.holder, now_ms)
             heard_ms = daemon.view.heartbeat_age_ms(claim.holder, now_ms)
-            if told_ms is not None and told_ms > max(STALE_MS, heard_ms + HOLDER_FRESH_MS):
+            if told_ms is not None and told_ms > max(
+                RESIDENCY_STALE_MS, heard_ms + MAX_RESIDENCY_LAG_MS
+            ):
                 del held[life]
         return held
 
     def wanted_version(self, adapter: str) -> int | None:
         """Return the version that the operator named; ``None`` where none was."""
-        return self._daemon.beliefs.version_by_adapter.get(adapter)
+        return self._daemon.cluster_state.version_by_adapter.get(adapter)
 
     def start_deadline_ms(self, adapter: str, version: int) -> int | None:
         """Return until when a request may begin on a version; ``None`` while it is the newest.
@@ -100,15 +104,15 @@
         A runner's own queue may be seconds long: a request sent before a version was named would
         begin on the older one after the bound.
         """
-        passed_ms = self._daemon.beliefs.passed_by_ms(adapter, version)
+        passed_ms = self._daemon.cluster_state.superseded_at_ms(adapter, version)
         if passed_ms is None:
             return None
-        return passed_ms + int(self._daemon.settings.bounds.version_ms * BEGINS_SHARE)
+        return passed_ms + int(self._daemon.settings.bounds.version_ms * RECALL_SHARE)
 
     def mark_adapter_missing(self, adapter: str, life: ServerLife) -> None:
         """Take the word of a runner that it does not hold an adapter."""
-        self._daemon.duties.residency.missing(life, adapter)
-        self._daemon.duties.doubt(life, adapter)
+        self._daemon.cell_leases.residency.record_missing(life, adapter)
+        self._daemon.cell_leases.mark_unconfirmed(life, adapter)
 
     def request_slot(
         self,
@@ -124,13 +128,13 @@
         """
         clock = self._daemon.clock
         began_ms = clock.now_ms()
-        if overloaded and not self._others(service, overloaded):
+        if overloaded and not self._has_other_runners(service, overloaded):
             drained_ms = self._daemon.backlog.queue_drain_ms(overloaded, job, began_ms)
             return NoServer("every queue is longer than the time left", drained_ms)
-        found = self._ask(call, route, service, job, frozenset(overloaded))
+        found = self._request_until_placed(call, route, service, job, frozenset(overloaded))
         waited_ms = clock.now_ms() - began_ms
         result = "placed" if isinstance(found, Chosen) else "refused"
-        self._daemon.metrics.place_wait.labels(result).observe(waited_ms / 1000)
+        self._daemon.metrics.slot_wait.labels(result).observe(waited_ms / 1000)
         claim = self._daemon.view.claim_of(service.name)
         log(
             _LOGGER,
@@ -144,7 +148,7 @@
         )
         return found
 
-    def _ask(
+    def _request_until_placed(
         self,
         call: Call,
         route: Route,
@@ -154,25 +158,27 @@
     ) -> Chosen | NoServer:
         clock = self._daemon.clock
         began_ms = clock.now_ms()
-        until_ms = began_ms + int((job.answer_deadline_ms - began_ms) * WAIT_SHARE)
+        until_ms = began_ms + int((job.answer_deadline_ms - began_ms) * SLOT_WAIT_SHARE)
         if not job.is_resuming():
-            until_ms = min(until_ms, self._stays_until_ms(call, route, job))
+            until_ms = min(until_ms, self._slot_useful_until_ms(call, route, job))
         while (left_ms := until_ms - clock.now_ms()) > 0:
-            question = self._question(call, route, service, job, left_ms, crowded)
+            question = self._create_slot_request(call, route, service, job, left_ms, crowded)
             question["waited_ms"] = clock.now_ms() - began_ms
             question["tried_ms"] = job.request.arrived_ms - job.first_tried_ms
-            found = self._send(service, question, left_ms)
+            found = self._send_slot_request(service, question, left_ms)
             if isinstance(found, NoSlot):
                 return NoServer("too many wait for a place", found.retry_after_ms)
-            chosen = self._chosen(call, job, found) if isinstance(found, Placed) else None
+            chosen = (
+                self._choose_granted_slot(call, job, found) if isinstance(found, Placed) else None
+            )
             if chosen is None:
                 self._daemon.tasks.sleep(min(NO_HOLDER_PAUSE_MS, left_ms))
-                chosen = self._held_meanwhile(call, service, job)
+                chosen = self._choose_new_holder(call, service, job)
             if chosen is not None:
                 return chosen
-        return NoServer("no place for the adapter in time", REFUSED_RETRY_MS)
+        return NoServer("no place for the adapter in time", REFUSED_RETRY_AFTER_MS)
 
-    def _stays_until_ms(self, call: Call, route: Route, job: Job) -> int:
+    def _slot_useful_until_ms(self, call: Call, route: Route, job: Job) -> int:
         """Return until when a place still gives the caller a first event before it leaves.
 
         Callers of a stream leave long before their deadline when nothing comes: held beyond that,
@@ -185,39 +191,41 @@
         leaves_ms = job.request.arrived_ms + route.first_event_timeout_ms
         return min(leaves_ms, job.cancel_at_ms()) - answer_ms
 
-    def _chosen(self, call: Call, job: Job, placed: Placed) -> Chosen | None:
-        book = self._daemon.beliefs.book
+    def _choose_granted_slot(self, call: Call, job: Job, placed: Placed) -> Chosen | None:
+        book = self._daemon.cluster_state.server_registry
         server = book.server_by_life.get(placed.life)
         if server is None or not book.is_accepting_work(placed.life):
             return None
-        if self._is_over(call.adapter or "", placed.version):
+        if self._is_too_old(call.adapter or "", placed.version):
             return None
         job.first_tried_ms = min(job.first_tried_ms, job.request.arrived_ms - placed.tried_ms)
         adapter = call.adapter or ""
         ref = AdapterRef(adapter, placed.version)
-        self._daemon.duties.residency.granted(placed.life, ref)
+        self._daemon.cell_leases.residency.record_granted(placed.life, ref)
         wanted = self.wanted_version(adapter)
         current = wanted is not None and placed.version >= wanted
         expect = wanted if current else None
-        return self._to(server, call, job, placed.version, expect, "placed")
+        return self._create_choice(server, call, job, placed.version, expect, "placed")
 
-    def _held_meanwhile(self, call: Call, service: Service, job: Job) -> Chosen | None:
+    def _choose_new_holder(self, call: Call, service: Service, job: Job) -> Chosen | None:
         """Return a runner that was heard to hold the adapter while nobody answered."""
         held = self.runners_with_adapter(call.adapter or "")
         now_ms = self._daemon.clock.now_ms()
-        for server in self._daemon.beliefs.book.servers_of(service.name):
+        for server in self._daemon.cluster_state.server_registry.servers_of(service.name):
             if server.life not in held or server.life in job.avoided_lives:
                 continue
             if self._daemon.backlog.can_prefill_in_time(server.life, job, now_ms):
-                return self._to(server, call, job, held[server.life], None, "held meanwhile")
+                return self._create_choice(
+                    server, call, job, held[server.life], None, "held meanwhile"
+                )
         return None
 
-    def _others(self, service: Service, crowded: Collection[ServerLife]) -> bool:
+    def _has_other_runners(self, service: Service, crowded: Collection[ServerLife]) -> bool:
         """Tell whether there are runners beside the crowded ones."""
-        runners = self._daemon.beliefs.book.servers_of(service.name)
+        runners = self._daemon.cluster_state.server_registry.servers_of(service.name)
         return any(server.life not in crowded for server in runners)
 
-    def _question(
+    def _create_slot_request(
         self,
         call: Call,
         route: Route,
@@ -241,29 +249,31 @@
             "priority": priority,
             "wait_ms": left_ms,
             "on_time_ms": on_time_ms,
-            "avoid": self._avoided(service, job, crowded),
+            "avoid": self._runners_to_avoid(service, job, crowded),
             "session": call.session,
-            "lacking": self._daemon.duties.residency.lacking(call.adapter or ""),
+            "lacking": self._daemon.cell_leases.residency.runners_lacking(call.adapter or ""),
             "rank": job.rank_at(now_ms),
             "prompt_tokens": call.prompt_tokens,
             "read_ms": read_ms,
             "tokens_per_ms": self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms),
         }
 
-    def _send(
+    def _send_slot_request(
         self, service: Service, question: dict[str, Any], left_ms: int
     ) -> Placed | NoSlot | None:
         """Ask this node's desk, or the holder's; ``None`` when nobody answers."""
         daemon = self._daemon
-        duty = daemon.duties.duty_of(service.name)
-        if duty is not None and duty.desk is not None:
-            return daemon.duties.ask_desk(duty, question)
+        duty = daemon.cell_leases.lease_of(service.name)
+        if duty is not None and duty.scheduler is not None:
+            return daemon.cell_leases.request_slot(duty, question)
         claim = daemon.view.claim_of(service.name)
         card = daemon.view.record_by_name.get(claim.holder) if claim is not None else None
         if card is None or not daemon.view.is_alive(claim.holder, daemon.clock.now_ms()):
             return None
         body = orjson.dumps(question)
-        answer = daemon.peers.call(card.peer_address, PLACE_PATH, body, min(left_ms, ASK_AGAIN_MS))
+        answer = daemon.peer_client.call(
+            card.peer_address, SLOT_REQUEST_PATH, body, min(left_ms, MAX_ANSWER_WAIT_MS)
+        )
         if isinstance(answer, Lost):
             if not answer.sent:
                 daemon.view.mark_refused(claim.holder)
@@ -278,7 +288,7 @@
         except (ValueError, KeyError, TypeError):
             return None
 
-    def _avoided(
+    def _runners_to_avoid(
         self, service: Service, job: Job, crowded: frozenset[ServerLife]
     ) -> list[ServerLife]:
         """Return the runners that a request shall not go to; none when there is no other.
@@ -286,17 +296,21 @@
         :param crowded: to be avoided in any case: it can't be served there.
         """
         now_ms = self._daemon.clock.now_ms()
-        runners = [s.life for s in self._daemon.beliefs.book.servers_of(service.name)]
-        paused = [s for s in runners if self._daemon.conditions.is_paused(s, now_ms)]
+        runners = [
+            s.life for s in self._daemon.cluster_state.server_registry.servers_of(service.name)
+        ]
+        paused = [s for s in runners if self._daemon.health_tracker.is_paused(s, now_ms)]
         avoided = {*job.avoided_lives, *paused, *crowded}
         return sorted(avoided if set(runners) - avoided else crowded)
 
-    def _is_over(self, adapter: str, version: int) -> bool:
+    def _is_too_old(self, adapter: str, version: int) -> bool:
         """Tell whether a version may no longer get new requests."""
         after_ms = self._daemon.settings.bounds.version_ms * OLD_VERSION_SHARE
-        return self._daemon.beliefs.passed_for(AdapterRef(adapter, version), after_ms)
+        return self._daemon.cluster_state.has_been_superseded_for(
+            AdapterRef(adapter, version), after_ms
+        )
 
-    def _to(
+    def _create_choice(
         self,
         server: BackendServer,
         call: Call,
--- a/monsoonflow/entry/plan_pause.py
+++ b/monsoonflow/entry/plan_pause.py
@@ -8,11 +8,11 @@
 
 from typing import Final
 
-PLAN_SHARE: Final = 0.2
+MAX_PLAN_SHARE: Final = 0.2
 """Share of its time that a busy holder may spend on plans; the rest is for questions, reports, and
 the answers to its orders."""
 
-MOST_PAUSE_MS: Final = 10
+MAX_PAUSE_MS: Final = 10
 """Longest pause. An adapter needs some four plans until it serves; paused for up to 30 ms after
 each, a holder of 45 runners in a rush gave half as many places."""
 
@@ -25,4 +25,4 @@
     >>> [pause_after_plan_ms(took_ms) for took_ms in (0, 1, 2, 50)]
     [0, 4, 8, 10]
     """
-    return min(MOST_PAUSE_MS, round(took_ms * (1 / PLAN_SHARE - 1)))
+    return min(MAX_PAUSE_MS, round(took_ms * (1 / MAX_PLAN_SHARE - 1)))
--- a/monsoonflow/entry/residency.py
+++ b/monsoonflow/entry/residency.py
@@ -10,7 +10,7 @@
 from ..core.server_life import ServerLife
 from ..fleet.models import ResidentAdapters
 
-MISSING_MS: Final = 400
+MISSING_REPORT_MS: Final = 400
 """How long a runner's own word that it lacks an adapter goes before the holder's older report."""
 
 
@@ -23,29 +23,29 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._refs_by_server: dict[str, dict[str, int]] = {}
-        self._missing_until: dict[tuple[str, str], int] = {}
+        self._versions_by_server: dict[str, dict[str, int]] = {}
+        self._missing_until_ms: dict[tuple[str, str], int] = {}
         self._history_by_server: dict[str, OrderedDict[AdapterRef, None]] = {}
-        self._told_by_cell: dict[str, tuple[ResidentAdapters, ...]] = {}
+        self._report_by_cell: dict[str, tuple[ResidentAdapters, ...]] = {}
 
-    def take_told(self, cell: str, told: tuple[ResidentAdapters, ...]) -> None:
+    def apply_peer_report(self, cell: str, told: tuple[ResidentAdapters, ...]) -> None:
         """Take the word of the holder of a cell, once.
 
         It is looked for ten times a second and told once a second in a large fleet: taken each
         time, it costs as much as the reports of all other nodes, and overwrites what this node has
         learnt of a runner meanwhile.
         """
-        if self._told_by_cell.get(cell) is not told:
-            self._told_by_cell[cell] = told
-            self.take(told)
+        if self._report_by_cell.get(cell) is not told:
+            self._report_by_cell[cell] = told
+            self.apply_report(told)
 
-    def take(self, told: tuple[ResidentAdapters, ...]) -> None:
+    def apply_report(self, told: tuple[ResidentAdapters, ...]) -> None:
         """Take a holder's word about its runners; it replaces what was known of them."""
         for held in told:
-            self._note(held)
-            self._refs_by_server[held.life] = {ref.name: ref.version for ref in held.adapters}
+            self._add_to_history(held)
+            self._versions_by_server[held.life] = {ref.name: ref.version for ref in held.adapters}
 
-    def _note(self, held: ResidentAdapters) -> None:
+    def _add_to_history(self, held: ResidentAdapters) -> None:
         history = self._history_by_server.setdefault(held.life, OrderedDict())
         for ref in held.adapters:
             history[ref] = None
@@ -60,22 +60,22 @@
         """
         return list(self._history_by_server.get(life, ()))
 
-    def granted(self, life: ServerLife, ref: AdapterRef) -> None:
+    def record_granted(self, life: ServerLife, ref: AdapterRef) -> None:
         """Take that a runner was just found to hold an adapter."""
-        self._missing_until.pop((life, ref.name), None)
-        self._refs_by_server.setdefault(life, {})[ref.name] = ref.version
+        self._missing_until_ms.pop((life, ref.name), None)
+        self._versions_by_server.setdefault(life, {})[ref.name] = ref.version
 
-    def missing(self, life: ServerLife, name: str) -> None:
+    def record_missing(self, life: ServerLife, name: str) -> None:
         """Take the runner's word that it does not hold an adapter."""
-        self._refs_by_server.get(life, {}).pop(name, None)
-        self._missing_until[life, name] = self._clock.now_ms() + MISSING_MS
+        self._versions_by_server.get(life, {}).pop(name, None)
+        self._missing_until_ms[life, name] = self._clock.now_ms() + MISSING_REPORT_MS
 
-    def lacking(self, name: str) -> list[ServerLife]:
+    def runners_lacking(self, name: str) -> list[ServerLife]:
         """Return the runners that lately said they lack an adapter."""
         now_ms = self._clock.now_ms()
         return [
             life
-            for (life, missed), until_ms in self._missing_until.items()
+            for (life, missed), until_ms in self._missing_until_ms.items()
             if missed == name and until_ms > now_ms
         ]
 
@@ -84,13 +84,13 @@
         now_ms = self._clock.now_ms()
         return {
             life: refs[name]
-            for life, refs in self._refs_by_server.items()
-            if name in refs and self._missing_until.get((life, name), 0) <= now_ms
+            for life, refs in self._versions_by_server.items()
+            if name in refs and self._missing_until_ms.get((life, name), 0) <= now_ms
         }
 
     def forget(self, life: ServerLife) -> None:
         """Drop a runner that is gone."""
-        self._refs_by_server.pop(life, None)
+        self._versions_by_server.pop(life, None)
         self._history_by_server.pop(life, None)
-        for key in [key for key in self._missing_until if key[0] == life]:
-            del self._missing_until[key]
+        for key in [key for key in self._missing_until_ms if key[0] == life]:
+            del self._missing_until_ms[key]
--- a/monsoonflow/entry/own_word.py
+++ b/monsoonflow/entry/residency_reporter.py
@@ -9,12 +9,12 @@
 from ..placement.scheduler import AdapterScheduler
 from ..placement.slots import RunnerSlots, SlotState
 
-ALL_EVERY_MS: Final = 100
+FULL_REPORT_INTERVAL_MS: Final = 100
 """How often this node is told all again, as often as a quiet holder plans: that mends what its own
 requests have noted of runners meanwhile."""
 
 
-class OwnWord:
+class ResidencyReporter:
     """The word about each runner, kept while it is the same.
 
     Made and taken anew after each plan, that of 45 runners took a tenth of all that a busy holder
@@ -22,29 +22,32 @@
     """
 
     def __init__(self) -> None:
-        self._word_by_life: dict[ServerLife, ResidentAdapters] = {}
-        self._taken_by_life: dict[ServerLife, ResidentAdapters] = {}
-        self._all_ms: int | None = None
+        self._current_by_life: dict[ServerLife, ResidentAdapters] = {}
+        self._reported_by_life: dict[ServerLife, ResidentAdapters] = {}
+        self._last_full_report_ms: int | None = None
 
-    def of(self, desk: AdapterScheduler) -> tuple[ResidentAdapters, ...]:
+    def report(self, desk: AdapterScheduler) -> tuple[ResidentAdapters, ...]:
         """Return what all known runners of a desk can serve now."""
-        words = {r.life: self._word(r) for r in desk.runners.values() if r.is_known()}
-        self._word_by_life = words
+        words = {r.life: self._resident_adapters(r) for r in desk.runners.values() if r.is_known()}
+        self._current_by_life = words
         return tuple(words.values())
 
-    def news(self, desk: AdapterScheduler, now_ms: int) -> tuple[ResidentAdapters, ...]:
+    def report_changes(self, desk: AdapterScheduler, now_ms: int) -> tuple[ResidentAdapters, ...]:
         """Return what has changed since this was last asked, and all of it at times."""
-        words = self.of(desk)
-        taken, self._taken_by_life = self._taken_by_life, self._word_by_life
-        if self._all_ms is None or now_ms - self._all_ms >= ALL_EVERY_MS:
-            self._all_ms = now_ms
+        words = self.report(desk)
+        taken, self._reported_by_life = self._reported_by_life, self._current_by_life
+        if (
+            self._last_full_report_ms is None
+            or now_ms - self._last_full_report_ms >= FULL_REPORT_INTERVAL_MS
+        ):
+            self._last_full_report_ms = now_ms
             return words
         return tuple(word for word in words if taken.get(word.life) is not word)
 
-    def _word(self, runner: RunnerSlots) -> ResidentAdapters:
+    def _resident_adapters(self, runner: RunnerSlots) -> ResidentAdapters:
         ready = SlotState.READY
         refs = tuple([seat.ref for seat in runner.slots.values() if seat.state is ready])
-        known = self._word_by_life.get(runner.life)
+        known = self._current_by_life.get(runner.life)
         if known is not None and known.adapters == refs:
             return known
         return ResidentAdapters(runner.life, refs)
--- a/monsoonflow/entry/settings.py
+++ b/monsoonflow/entry/settings.py
@@ -7,13 +7,13 @@
 from ..fleet.models import DEFAULT_CORES
 
 
-def _address(_instance: object, field: attrs.Attribute, value: str) -> None:
+def _validate_address(_instance: object, field: attrs.Attribute, value: str) -> None:
     host, mark, port = value.rpartition(":")
     if not mark or not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(f"{field.name}: {value!r} is not IP:PORT")
 
 
-def _positive(_instance: object, field: attrs.Attribute, value: float) -> None:
+def _validate_positive(_instance: object, field: attrs.Attribute, value: float) -> None:
     if value <= 0:
         raise ValueError(f"{field.name}: {value} must be above zero")
 
@@ -34,16 +34,16 @@
     :param thaw_ms: how long after a freeze no orders are sent.
     """
 
-    lease_ms: int = attrs.field(default=3_000, validator=_positive)
-    grace_ms: int = attrs.field(default=8_000, validator=_positive)
-    drain_ms: int = attrs.field(default=2_000, validator=_positive)
+    lease_ms: int = attrs.field(default=3_000, validator=_validate_positive)
+    grace_ms: int = attrs.field(default=8_000, validator=_validate_positive)
+    drain_ms: int = attrs.field(default=2_000, validator=_validate_positive)
     fenced: bool = False
     retry_ratio: float = 0.2
     retry_reserve: float = 0.0
-    retry_window_ms: int = attrs.field(default=10_000, validator=_positive)
-    version_ms: int = attrs.field(default=5_000, validator=_positive)
-    address_ttl_ms: int = attrs.field(default=5_000, validator=_positive)
-    load_window_ms: int = attrs.field(default=5_000, validator=_positive)
+    retry_window_ms: int = attrs.field(default=10_000, validator=_validate_positive)
+    version_ms: int = attrs.field(default=5_000, validator=_validate_positive)
+    address_ttl_ms: int = attrs.field(default=5_000, validator=_validate_positive)
+    load_window_ms: int = attrs.field(default=5_000, validator=_validate_positive)
     thaw_ms: int = 300
 
 
@@ -65,19 +65,19 @@
     name: str
     ip: str
     data_centre: str
-    callers_address: str = attrs.field(validator=_address)
-    ready_address: str = attrs.field(validator=_address)
-    directory_address: str = attrs.field(validator=_address)
-    peer_address: str = attrs.field(validator=_address)
-    report_address: str = attrs.field(validator=_address)
-    metrics_address: str = attrs.field(validator=_address)
-    store_address: str = attrs.field(validator=_address)
+    callers_address: str = attrs.field(validator=_validate_address)
+    ready_address: str = attrs.field(validator=_validate_address)
+    directory_address: str = attrs.field(validator=_validate_address)
+    peer_address: str = attrs.field(validator=_validate_address)
+    report_address: str = attrs.field(validator=_validate_address)
+    metrics_address: str = attrs.field(validator=_validate_address)
+    store_address: str = attrs.field(validator=_validate_address)
     bounds: PeerBounds = PeerBounds()
     seeds: tuple[str, ...] = ()
     cores: float = DEFAULT_CORES
     first_start: bool = True
 
-    def listens_at(self) -> tuple[str, ...]:
+    def immutable_settings(self) -> tuple[str, ...]:
         """Return what can't change while the process runs."""
         return (
             self.name,
--- a/monsoonflow/entry/following.py
+++ b/monsoonflow/entry/store_follower.py
@@ -26,11 +26,11 @@
 from ..storage.models import ChangedRow, ChangeFeed
 from ..storage.patience import Patience
 from ..storage.watch import LEAST_PATIENCE_MS, SILENT_CYCLE_MS, CollectionWatch
-from .beliefs import LONG_AGO_MS, Beliefs
+from .cluster_state import LONG_AGO_MS, ClusterState
 
 _LOGGER = logging.getLogger(__name__)
-CARD_PREFIX = "node/"
-WATCH = "watch servers"
+NODE_RECORD_PREFIX = "node/"
+SERVER_WATCHER_RANK_KEY = "watch servers"
 """By this key nodes are ranked that watch servers."""
 
 SERVERS_PAUSE_SHARE = 0.5
@@ -45,23 +45,23 @@
 """How long a question for servers waits for changes, as a share of the same time: some entry has
 nearly always changed meanwhile, and a longer wait would only hide that nobody answers."""
 
-SERVERS_PATIENCE_SHARE = 0.15
+SERVERS_MIN_ANSWER_TIMEOUT_SHARE = 0.15
 """How much longer its answer is waited for while answers come soon."""
 
-SERVERS_MOST_PATIENCE_SHARE = 0.5
+SERVERS_MAX_ANSWER_TIMEOUT_SHARE = 0.5
 """The same in the end, for a store that has become slow. With the pause of an outage this is how
 late the end of a silence is noticed: what is missing then stays in use for a moment, and a server
 that leaves after it must still be known in time."""
 
-PEERS_DOUBT_EVERY_MS = 3_000
+MIN_RESTART_INTERVAL_MS = 3_000
 """How often other nodes' word that they have lost the store makes this one ask anew, at most: a
 store that turns a third of the machines away, one after the other, costs the others two calls each
 in that time."""
 
-LONE_DOUBT_UP_TO = 13
+SINGLE_OUTAGE_REPORT_MAX_NODES = 13
 """In a fleet of so many nodes one that has lost the store makes the others ask anew."""
 
-DOUBTERS = 3
+MIN_OUTAGE_REPORTS = 3
 """In a larger one so many: all six that watch the store notice its silence, and one machine that is
 cut off from it would cost each of the others two calls."""
 
@@ -71,14 +71,14 @@
 three seconds after it on a server that is gone must not be used. Counted from when the return is
 noticed, it would be used for up to two seconds more."""
 
-DOUBTED_PAUSE_MS = 250
+UNCONFIRMED_PAUSE_MS = 250
 """Pause between questions while entries are doubted: one that is back must be read in time."""
 
-LAPSING_MS = 500
+MIN_OUTAGE_MS = 500
 """An outage that was noticed for less is no reason to doubt that an entry is gone: entries lapse
 after two seconds or more, and a silence is noticed within one and a half."""
 
-WATCHERS = 7
+FULL_RATE_NODES = 7
 """So many nodes ask the store at their own pace. In a larger fleet each pauses longer, so that all
 together ask as often as these: 90 nodes made 98 calls a second, most of them for servers. Whoever
 finds news tells the others, which then ask at once; a node that hears nobody goes back to its own
@@ -89,7 +89,7 @@
 they tell everybody at once. Of 90 nodes that each asked now and then, all had asked together and
 nobody for 13 s when a server left. Fifty of ninety dead at once leave none of six in 3 of 100."""
 
-LAST_RESORT = 7
+LAST_RESORT_FACTOR = 7
 """The others ask so many times more seldom than if all did their part: they are told."""
 
 OWN_PAUSE_MS = 2_500
@@ -117,14 +117,14 @@
 
 
 @attrs.define(slots=True)
-class Followed:
+class StoreWatches:
     """The watches of one node."""
 
     operator: CollectionWatch
     servers: CollectionWatch
     own: CollectionWatch
 
-    def loaded(self) -> bool:
+    def is_loaded(self) -> bool:
         """Tell whether everything has been read once."""
         return self.operator.loaded and self.servers.loaded
 
@@ -141,7 +141,7 @@
         lost_ms = [w.lost_since_ms for w in self.all() if w.lost_since_ms is not None]
         return not lost_ms or any(watch.answered_since(min(lost_ms)) for watch in self.all())
 
-    def doubt(self) -> None:
+    def restart_waiting_requests(self) -> None:
         """Ask anew whatever waits for changes: the store may have been silent since it was asked.
 
         Questions about the operator's rows wait for 20 s. Asked at the beginning of a silence of
@@ -151,7 +151,7 @@
             watch.doubt()
 
 
-class Following:
+class StoreFollower:
     """Keeps beliefs up to date from the store.
 
     :ivar watches: whether the others rely on this node to ask for servers.
@@ -160,125 +160,130 @@
     def __init__(
         self,
         decoders: Decoders,
-        beliefs: Beliefs,
+        cluster_state: ClusterState,
         view: FleetView,
         clock: Clock,
         on_own_row: Callable[[ChangedRow], None],
-        on_server_gone: Callable[[ServerLife], None],
-        on_news: Callable[[], None],
-        on_left: Callable[[], None] = lambda: None,
+        on_server_departed: Callable[[ServerLife], None],
+        on_change: Callable[[], None],
+        on_departure: Callable[[], None] = lambda: None,
     ) -> None:
         self._decoders = decoders
-        self._beliefs = beliefs
+        self._cluster_state = cluster_state
         self._view = view
         self._clock = clock
         self._on_own_row = on_own_row
-        self._on_server_gone = on_server_gone
-        self._on_news = on_news
-        self._on_left = on_left
-        self._followed: Followed | None = None
+        self._on_server_departed = on_server_departed
+        self._on_change = on_change
+        self._on_departure = on_departure
+        self._store_watches: StoreWatches | None = None
         self._tasks: Tasks | None = None
-        self.watches = True
-        self._without_store: set[str] = set()
-        self._doubts_from_ms = 0
-        self._body_by_key: dict[str, dict[str, bytes]] = {
+        self.watches_servers = True
+        self._peers_without_store: set[str] = set()
+        self._next_restart_ms = 0
+        self._bodies_by_kind: dict[str, dict[str, bytes]] = {
             "operator": {},
             "servers": {},
             "own": {},
         }
 
-    def start(self, feed: Callable[[], ChangeFeed], tasks: Tasks, drain_ms: int) -> Followed:
+    def start(
+        self, open_feed: Callable[[], ChangeFeed], tasks: Tasks, drain_ms: int
+    ) -> StoreWatches:
         """Begin to follow.
 
         :param feed: returns a feed with a connection of its own.
         :param drain_ms: how soon a leaving server must be known.
         """
         names = self._decoders
-        followed = Followed(
+        followed = StoreWatches(
             CollectionWatch(
-                feed(),
+                open_feed(),
                 names.operator_collection,
                 tasks,
                 self._clock,
-                self._operator,
-                self._answers_again,
+                self._handle_operator_row,
+                self._notify_store_answers,
                 patience=Patience(LEAST_PATIENCE_MS, SILENT_CYCLE_MS),
-                on_lost=self._doubt,
+                on_lost=self._restart_waiting_requests,
                 phase_ms=SILENT_CYCLE_MS // 3,
             ),
             CollectionWatch(
-                feed(),
+                open_feed(),
                 names.server_collection,
                 tasks,
                 self._clock,
-                self._server,
-                self._store_returned,
+                self._handle_server_row,
+                self._handle_store_return,
                 lambda: self._servers_pause_ms(int(drain_ms * SERVERS_PAUSE_SHARE)),
                 # Waited for as long as any question, 21.5 s, one that was asked while the store was
                 # silent left all nodes deaf to leaves for 16 s after its return.
                 int(drain_ms * SERVERS_WAIT_SHARE),
                 Patience(
-                    int(drain_ms * SERVERS_PATIENCE_SHARE),
-                    int(drain_ms * SERVERS_MOST_PATIENCE_SHARE),
+                    int(drain_ms * SERVERS_MIN_ANSWER_TIMEOUT_SHARE),
+                    int(drain_ms * SERVERS_MAX_ANSWER_TIMEOUT_SHARE),
                 ),
-                self._doubt,
+                self._restart_waiting_requests,
             ),
             CollectionWatch(
-                feed(),
+                open_feed(),
                 names.own_collection,
                 tasks,
                 self._clock,
-                self._own,
-                self._answers_again,
-                lambda: self._shared(OWN_PAUSE_MS),
+                self._handle_own_row,
+                self._notify_store_answers,
+                lambda: self._shared_pause_ms(OWN_PAUSE_MS),
                 patience=Patience(LEAST_PATIENCE_MS, SILENT_CYCLE_MS),
-                on_lost=self._doubt,
+                on_lost=self._restart_waiting_requests,
                 phase_ms=SILENT_CYCLE_MS * 2 // 3,
             ),
         )
-        self._followed = followed
+        self._store_watches = followed
         self._tasks = tasks
         for watch in followed.all():
             tasks.spawn(watch.run)
         return followed
 
-    def _doubt(self) -> None:
-        self._followed.doubt()
+    def _restart_waiting_requests(self) -> None:
+        self._store_watches.restart_waiting_requests()
 
-    def _answers_again(self) -> None:
-        for watch in self._followed.all():
+    def _notify_store_answers(self) -> None:
+        for watch in self._store_watches.all():
             watch.answers_again()
 
-    def take_report(self, report: Heartbeat) -> None:
+    def handle_heartbeat(self, report: Heartbeat) -> None:
         """Take what another node says of the store: one that has lost it makes this one ask.
 
         Of a large fleet only some nodes ask often; the others would not notice a silence.
         """
         lost = not report.is_store_reachable
-        news = lost and report.name not in self._without_store
+        news = lost and report.name not in self._peers_without_store
         if lost:
-            self._without_store.add(report.name)
+            self._peers_without_store.add(report.name)
         else:
-            self._without_store.discard(report.name)
+            self._peers_without_store.discard(report.name)
         now_ms = self._clock.now_ms()
-        alike = self._view.node_count() <= LONE_DOUBT_UP_TO or len(self._without_store) >= DOUBTERS
-        if news and alike and now_ms >= self._doubts_from_ms and self._followed is not None:
-            self._doubts_from_ms = now_ms + PEERS_DOUBT_EVERY_MS
-            self._followed.doubt()
+        alike = (
+            self._view.node_count() <= SINGLE_OUTAGE_REPORT_MAX_NODES
+            or len(self._peers_without_store) >= MIN_OUTAGE_REPORTS
+        )
+        if news and alike and now_ms >= self._next_restart_ms and self._store_watches is not None:
+            self._next_restart_ms = now_ms + MIN_RESTART_INTERVAL_MS
+            self._store_watches.restart_waiting_requests()
 
     def _servers_pause_ms(self, pause_ms: int) -> int:
         """Return the pause between questions for servers: a watcher's, or a last resort's.
 
         Who watches follows from who is heard, so that a silent one is replaced without a word.
         """
-        if self._beliefs.book.has_missing():
-            return DOUBTED_PAUSE_MS
+        if self._cluster_state.server_registry.has_missing():
+            return UNCONFIRMED_PAUSE_MS
         now_ms = self._clock.now_ms()
-        shared_ms = self._shared(pause_ms)
+        shared_ms = self._shared_pause_ms(pause_ms)
         # A node is told by a dozen others in each round: unheard for three it relies on nobody,
         # though each of them may still be alive and have told others.
-        self.watches = shared_ms == pause_ms
-        if self.watches or not self._view.has_received_within(
+        self.watches_servers = shared_ms == pause_ms
+        if self.watches_servers or not self._view.has_received_within(
             now_ms, SILENT_AFTER_MISSED * HEARTBEAT_INTERVAL_MS
         ):
             return pause_ms
@@ -287,34 +292,38 @@
             for report in self._view.heartbeats(now_ms)
             if report.is_store_reachable and not report.is_leaving
         ]
-        own = weight(WATCH, self._view.name)
-        before = sum(weight(WATCH, name) > own for name in candidates)
-        self.watches = before < SERVER_WATCHERS
-        return pause_ms if self.watches else shared_ms * LAST_RESORT
+        own = weight(SERVER_WATCHER_RANK_KEY, self._view.name)
+        before = sum(weight(SERVER_WATCHER_RANK_KEY, name) > own for name in candidates)
+        self.watches_servers = before < SERVER_WATCHERS
+        return pause_ms if self.watches_servers else shared_ms * LAST_RESORT_FACTOR
 
-    def _shared(self, pause_ms: int) -> int:
+    def _shared_pause_ms(self, pause_ms: int) -> int:
         """Return a pause with which this node does its part of the asking.
 
         :param pause_ms: of a node in a small fleet.
         """
         heard = len(self._view.heartbeats(self._clock.now_ms()))
-        return int(pause_ms * max(1.0, (heard + 1) / WATCHERS))
+        return int(pause_ms * max(1.0, (heard + 1) / FULL_RATE_NODES))
 
-    def teach(self) -> bytes:
+    def snapshot(self) -> bytes:
         """Return all rows that this node has taken, for a node that can't read them itself."""
         rows = [
             [kind, key, base64.b64encode(body).decode()]
-            for kind, bodies in self._body_by_key.items()
+            for kind, bodies in self._bodies_by_kind.items()
             for key, body in bodies.items()
         ]
         return orjson.dumps(rows)
 
-    def taught(self, data: bytes) -> bool:
+    def apply_snapshot(self, data: bytes) -> bool:
         """Take another node's rows; return whether they could be read.
 
         Versions of rows are not taken with them: what the store says later goes first.
         """
-        takers = {"operator": self._operator, "servers": self._server, "own": self._own}
+        takers = {
+            "operator": self._handle_operator_row,
+            "servers": self._handle_server_row,
+            "own": self._handle_own_row,
+        }
         try:
             rows = [
                 (takers[kind], ChangedRow(str(key), 0, base64.b64decode(body)))
@@ -326,38 +335,42 @@
             take(row)
         return bool(rows)
 
-    def _note(self, kind: str, row: ChangedRow) -> None:
+    def _remember_row(self, kind: str, row: ChangedRow) -> None:
         if row.body is None:
-            self._body_by_key[kind].pop(row.key, None)
+            self._bodies_by_kind[kind].pop(row.key, None)
         else:
-            self._body_by_key[kind][row.key] = row.body
+            self._bodies_by_kind[kind][row.key] = row.body
 
-    def _operator(self, row: ChangedRow) -> None:
-        self._note("operator", row)
+    def _handle_operator_row(self, row: ChangedRow) -> None:
+        self._remember_row("operator", row)
         if row.body is None:
             return
         table = self._decoders.routes(row.key, row.body)
         if isinstance(table, RouteTable):
-            if self._beliefs.take_table(table, row.body, "store"):
-                self._on_news()
+            if self._cluster_state.apply_route_table(table, row.body, "store"):
+                self._on_change()
             return
         ref = self._decoders.adapter_version(row.key, row.body) if table is None else table
         if isinstance(ref, AdapterRef):
-            if self._beliefs.take_version(ref, "store", self._named_after_ms()):
-                self._on_news()
+            if self._cluster_state.record_version(ref, "store", self._published_after_ms()):
+                self._on_change()
         elif ref is not None:
             # The last good one stays in force.
             log(_LOGGER, events.UnusableRow(row=row.key, cause=ref))
 
-    def _named_after_ms(self) -> int:
+    def _published_after_ms(self) -> int:
         """Return when the version that is being taken was named, at the earliest."""
-        at_ms = self._followed.operator.changed_after_ms() if self._followed is not None else None
+        at_ms = (
+            self._store_watches.operator.changed_after_ms()
+            if self._store_watches is not None
+            else None
+        )
         return LONG_AGO_MS if at_ms is None else at_ms
 
-    def _server(self, row: ChangedRow) -> None:
-        self._note("servers", row)
+    def _handle_server_row(self, row: ChangedRow) -> None:
+        self._remember_row("servers", row)
         now_ms = self._clock.now_ms()
-        book = self._beliefs.book
+        book = self._cluster_state.server_registry
         before = book.life_of(row.key)
         took_work = before is not None and book.is_accepting_work(before)
         if row.body is None:
@@ -370,44 +383,44 @@
                 book.put(server, now_ms, row.version)
         # Told once: a server that leaves writes its entry every second for many more.
         if took_work and not book.is_accepting_work(before):
-            self._on_server_gone(before)
-            self._on_news()
-            self._on_left()
+            self._on_server_departed(before)
+            self._on_change()
+            self._on_departure()
         elif before != book.life_of(row.key):
-            self._on_news()
+            self._on_change()
 
-    def _store_returned(self) -> None:
-        unanswered_ms = [watch.unanswered_ms() for watch in self._followed.all()]
-        self._answers_again()
-        if self._followed.servers.out_ms < LAPSING_MS:
+    def _handle_store_return(self) -> None:
+        unanswered_ms = [watch.unanswered_ms() for watch in self._store_watches.all()]
+        self._notify_store_answers()
+        if self._store_watches.servers.out_ms < MIN_OUTAGE_MS:
             return
         until_ms = max(ms for ms in unanswered_ms if ms is not None) + MISSING_GRACE_MS
-        self._beliefs.book.keep_missing_until(until_ms)
-        self._tasks.spawn(self._drop_missing, until_ms)
+        self._cluster_state.server_registry.keep_missing_until(until_ms)
+        self._tasks.spawn(self._remove_missing_servers, until_ms)
 
-    def _drop_missing(self, until_ms: int) -> None:
+    def _remove_missing_servers(self, until_ms: int) -> None:
         self._tasks.sleep(max(0, until_ms - self._clock.now_ms()))
-        if self._beliefs.book.remove_missing(self._clock.now_ms()):
-            self._on_news()
-            self._on_left()
+        if self._cluster_state.server_registry.remove_missing(self._clock.now_ms()):
+            self._on_change()
+            self._on_departure()
 
-    def _own(self, row: ChangedRow) -> None:
-        if not row.key.startswith(CARD_PREFIX):
+    def _handle_own_row(self, row: ChangedRow) -> None:
+        if not row.key.startswith(NODE_RECORD_PREFIX):
             self._on_own_row(row)
             return
-        self._note("own", row)
-        name = row.key.removeprefix(CARD_PREFIX)
+        self._remember_row("own", row)
+        name = row.key.removeprefix(NODE_RECORD_PREFIX)
         if row.body is None:
             self._view.remove_record(name)
             return
-        card = decode_card(row.body)
+        card = decode_node_record(row.body)
         if isinstance(card, str):
             log(_LOGGER, events.UnusableRow(row=row.key, cause=card))
             return
         self._view.add_record(card)
 
 
-class CardFields(Struct):
+class NodeRecordFields(Struct):
     """The value of a node's row."""
 
     name: str
@@ -419,9 +432,9 @@
     cores: Any = None
 
 
-def decode_card(body: bytes) -> NodeRecord | str:
+def decode_node_record(body: bytes) -> NodeRecord | str:
     """Return a node's card, or why it can't be used."""
-    fields = read(body, CardFields)
+    fields = read(body, NodeRecordFields)
     if isinstance(fields, str):
         return fields
     return NodeRecord(
@@ -435,14 +448,14 @@
     )
 
 
-def encode_card(card: NodeRecord) -> dict[str, str | float]:
+def encode_node_record(node_record: NodeRecord) -> dict[str, str | float]:
     """Return the value of a node's row."""
     return {
-        "name": card.name,
-        "boot": card.boot,
-        "data_centre": card.data_centre,
-        "callers": card.callers_address,
-        "peer": card.peer_address,
-        "report": card.report_address,
-        "cores": card.cores,
+        "name": node_record.name,
+        "boot": node_record.boot,
+        "data_centre": node_record.data_centre,
+        "callers": node_record.callers_address,
+        "peer": node_record.peer_address,
+        "report": node_record.report_address,
+        "cores": node_record.cores,
     }
--- a/tests/entry/conftest.py
+++ b/tests/entry/conftest.py
@@ -138,7 +138,7 @@
         assert daemon.start()
         node = Node(daemon, tasks)
         self.nodes.append(node)
-        wait_for(daemon.ready)
+        wait_for(daemon.is_ready)
         return node
 
     def holder(self) -> Node:
@@ -146,8 +146,8 @@
 
         def holding() -> Node | None:
             for node in self.nodes:
-                duty = node.daemon.duties.duty_of("llm")
-                if duty is not None and duty.desk is not None:
+                duty = node.daemon.cell_leases.lease_of("llm")
+                if duty is not None and duty.scheduler is not None:
                     return node
             return None
 
--- a/tests/entry/silent_store.py
+++ b/tests/entry/silent_store.py
@@ -11,9 +11,14 @@
 
 from monsoonflow.core.adapter import AdapterRef
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.entry.beliefs import Beliefs
-from monsoonflow.entry.daemon import SWEEP_EVERY_MS
-from monsoonflow.entry.following import CARD_PREFIX, Followed, Following, encode_card
+from monsoonflow.entry.cluster_state import ClusterState
+from monsoonflow.entry.daemon import MAINTENANCE_INTERVAL_MS
+from monsoonflow.entry.store_follower import (
+    NODE_RECORD_PREFIX,
+    StoreFollower,
+    StoreWatches,
+    encode_node_record,
+)
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
@@ -163,11 +168,11 @@
 
     card: NodeRecord
     tasks: VirtualTasks
-    beliefs: Beliefs
+    beliefs: ClusterState
     view: FleetView
     rounds: HeartbeatRounds
-    followed: Followed | None = None
-    following: Following | None = None
+    followed: StoreWatches | None = None
+    following: StoreFollower | None = None
     sequence: int = 0
 
 
@@ -226,7 +231,7 @@
     def add_card(self, name: str) -> bool:
         """Let a node that starts write its card; return whether that is confirmed."""
         card = NodeRecord(name, name, "dc", "1:1", "1:2", "1:3")
-        return self.store.put(OWN, CARD_PREFIX + name, encode_card(card))
+        return self.store.put(OWN, NODE_RECORD_PREFIX + name, encode_node_record(card))
 
     def last_after_ms(self, knows: Callable[[Node], bool], most_ms: int) -> int:
         """Return how long it takes until the last node knows something that is confirmed now."""
@@ -259,8 +264,8 @@
     def _node(self, name: str) -> Node:
         tasks, clock = VirtualTasks(self.world), self.world
         card = NodeRecord(name, name, "dc", name, name, name)
-        node = Node(card, tasks, Beliefs(clock), FleetView(name), HeartbeatRounds(name))
-        following = Following(
+        node = Node(card, tasks, ClusterState(clock), FleetView(name), HeartbeatRounds(name))
+        following = StoreFollower(
             RowDecoders(),
             node.beliefs,
             node.view,
@@ -275,7 +280,7 @@
         self.world.later(
             self.rng.uniform(0, HEARTBEAT_INTERVAL_MS), lambda: self._tell_for_good(node)
         )
-        self.world.later(SWEEP_EVERY_MS, lambda: self._sweep_for_good(node))
+        self.world.later(MAINTENANCE_INTERVAL_MS, lambda: self._sweep_for_good(node))
         return node
 
     def add_node(self) -> Node:
@@ -287,8 +292,8 @@
 
     def _sweep_for_good(self, node: Node) -> None:
         node.followed.servers.look_again()
-        node.beliefs.book.pop_removed(self.world.now_ms())
-        self.world.later(SWEEP_EVERY_MS, lambda: self._sweep_for_good(node))
+        node.beliefs.server_registry.pop_removed(self.world.now_ms())
+        self.world.later(MAINTENANCE_INTERVAL_MS, lambda: self._sweep_for_good(node))
 
     def _tell_for_good(self, node: Node) -> None:
         self._tell(node)
@@ -305,8 +310,8 @@
             False,
             1,
             node.followed.reaches_store(),
-            departed_servers=node.beliefs.recent_left(),
-            added_servers=node.beliefs.recent_came(),
+            departed_servers=node.beliefs.recently_departed_servers(),
+            added_servers=node.beliefs.recently_added_servers(),
             versions=node.beliefs.recent_versions(),
         )
         others = [name for name in self.by_name if name != node.card.name]
@@ -318,20 +323,23 @@
     def _hear(self, node: Node, report: Heartbeat) -> None:
         if not node.view.receive(report, self.world.now_ms()):
             return
-        node.following.take_report(report)
-        if node.beliefs.take_report(report):
+        node.following.handle_heartbeat(report)
+        if node.beliefs.handle_heartbeat(report):
             node.followed.servers.poke()
 
 
 def left(server_id: str) -> Callable[[Node], bool]:
     """Return what tells whether a node sends nothing more to a server."""
     life = ServerLife(server_id)
-    return lambda node: not node.beliefs.book.is_accepting_work(life)
+    return lambda node: not node.beliefs.server_registry.is_accepting_work(life)
 
 
 def configured(version: int) -> Callable[[Node], bool]:
     """Return what tells whether a configuration is in force at a node."""
-    return lambda node: node.beliefs.table is not None and node.beliefs.table.version >= version
+    return (
+        lambda node: node.beliefs.route_table is not None
+        and node.beliefs.route_table.version >= version
+    )
 
 
 def named(version: int) -> Callable[[Node], bool]:
--- a/tests/entry/test_activity.py
+++ b/tests/entry/test_activity.py
@@ -7,7 +7,7 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.entry.activity import Activity
+from monsoonflow.entry.node_activity import NodeActivity
 from monsoonflow.fleet.models import CellLeaseClaim, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.routing.budget import MIN_BUSY_REQUESTS, FleetRetryBudget, RetryAllowance
@@ -27,7 +27,7 @@
     budget: FleetRetryBudget
     watches: bool = False
     begun: int = 0
-    activity: Activity | None = None
+    activity: NodeActivity | None = None
 
     def begin(self) -> None:
         """Count a beginning."""
@@ -39,12 +39,12 @@
     """Return a node without callers in a fleet of many."""
     budget = FleetRetryBudget(RetryAllowance(0.2, 10, WINDOW_MS))
     node = Node(ManualClock(0), FleetView("a"), InFlight(), budget)
-    node.activity = Activity(
+    node.activity = NodeActivity(
         node.view, node.in_flight, budget, node.clock, lambda: node.watches, node.begin
     )
     for number in range(30):
         node.view.add_record(attrs.evolve(CARD, name=f"n{number}"))
-    assert not node.activity.look()
+    assert not node.activity.refresh()
     return node
 
 
@@ -56,31 +56,31 @@
     """
     for _ in range(MIN_BUSY_REQUESTS - 1):
         node.budget.record_first_attempt("s", node.clock.now_ms())
-    assert not node.activity.look()
+    assert not node.activity.refresh()
 
 
 def test_a_node_with_callers_is_active_while_its_requests_count(node: Node):
     for _ in range(MIN_BUSY_REQUESTS):
         node.budget.record_first_attempt("s", node.clock.now_ms())
-    assert node.activity.look()
+    assert node.activity.refresh()
     node.clock.advance(WINDOW_MS + 1)
-    assert not node.activity.look()
+    assert not node.activity.refresh()
 
 
 def test_a_long_answer_is_told_until_it_ends(node: Node):
     ticket = node.in_flight.begin(ServerLife("i-1"), node.clock.now_ms())
     node.clock.advance(WINDOW_MS * 2)
-    assert node.activity.look()
+    assert node.activity.refresh()
     node.in_flight.end(ticket)
-    assert not node.activity.look()
+    assert not node.activity.refresh()
 
 
 def test_watchers_holders_and_heirs_are_active(node: Node):
     node.watches = True
-    assert node.activity.look()
+    assert node.activity.refresh()
     node.watches = False
     node.view.apply_claim(CellLeaseClaim("s", "b", 1, ("c", "a")))
-    assert node.activity.look()
+    assert node.activity.refresh()
 
 
 def test_a_node_that_gets_callers_looks_for_servers_once(node: Node):
@@ -91,7 +91,7 @@
     """
     node.in_flight.begin(ServerLife("i-1"), node.clock.now_ms())
     for _ in range(3):
-        assert node.activity.look()
+        assert node.activity.refresh()
     assert node.begun == 1
 
 
@@ -99,5 +99,5 @@
     view, budget = FleetView("a"), FleetRetryBudget(RetryAllowance(0.2, 10, WINDOW_MS))
     for number in range(6):
         view.add_record(attrs.evolve(CARD, name=f"n{number}"))
-    activity = Activity(view, InFlight(), budget, ManualClock(0), lambda: False, lambda: None)
-    assert activity.look()
+    activity = NodeActivity(view, InFlight(), budget, ManualClock(0), lambda: False, lambda: None)
+    assert activity.refresh()
--- a/tests/entry/test_caller_left.py
+++ b/tests/entry/test_caller_left.py
@@ -27,17 +27,17 @@
     node = fleet.node()
     fleet.holder()
     waiting = []
-    duties = node.daemon.duties
-    ask_desk = duties.ask_desk
+    duties = node.daemon.cell_leases
+    request_slot = duties.request_slot
 
     def stand_still(duty, question):
-        found = ask_desk(duty, question)
+        found = request_slot(duty, question)
         waiting.append(question["adapter"])
         caller.close()
         time.sleep(0.2)  # the whole process: nothing else runs, as when its machine is paused
         return found
 
-    monkeypatch.setattr(duties, "ask_desk", stand_still)
+    monkeypatch.setattr(duties, "request_slot", stand_still)
     caller = socket.create_connection(split_address(node.address))
     caller.sendall(REQUEST % HOST.encode())
     wait_for(lambda: waiting)
--- a/tests/entry/test_cards.py
+++ b/tests/entry/test_cards.py
@@ -5,8 +5,8 @@
 import attrs
 import orjson
 
-from monsoonflow.entry.cards import CHECK_EVERY_MS
-from monsoonflow.entry.following import decode_card
+from monsoonflow.entry.node_registration import CHECK_INTERVAL_MS
+from monsoonflow.entry.store_follower import decode_node_record
 from tests.entry.conftest import wait_for
 
 
@@ -19,13 +19,13 @@
     name = one.daemon.settings.name
     wait_for(lambda: two.daemon.view.heartbeat_of(name))
     assert two.daemon.view.cores_of(name) == 1.0
-    one.daemon._reread = lambda: attrs.evolve(one.daemon.settings, cores=4.0)
+    one.daemon._reread_settings = lambda: attrs.evolve(one.daemon.settings, cores=4.0)
     one.daemon.reload()
     assert one.daemon.view.cores_of(name) == 4.0
     wait_for(lambda: two.daemon.view.cores_of(name) == 4.0, within_s=1.0)
 
     def stored() -> float:
-        (row,) = [row for row in one.daemon.table.scan("node/") if row.key == f"node/{name}"]
-        return decode_card(orjson.dumps(row.value)).cores
+        (row,) = [row for row in one.daemon.store_table.scan("node/") if row.key == f"node/{name}"]
+        return decode_node_record(orjson.dumps(row.value)).cores
 
-    wait_for(lambda: stored() == 4.0, within_s=CHECK_EVERY_MS / 1000 + 2)
+    wait_for(lambda: stored() == 4.0, within_s=CHECK_INTERVAL_MS / 1000 + 2)
--- a/tests/entry/test_crowded.py
+++ b/tests/entry/test_crowded.py
@@ -33,7 +33,7 @@
     fleet.holder()
     asked = one if through == "the holder" else fleet.node((one.daemon.settings.peer_address,))
     first = holder_of(fleet.generate(one, "a1", "r1"))
-    wait_for(lambda: asked.daemon.duties.residency.holders("m/a1"))
+    wait_for(lambda: asked.daemon.cell_leases.residency.holders("m/a1"))
     crowd(asked, first)
     answer = fleet.generate(asked, "a1", "r2")
     assert answer.head.status == 200
--- a/tests/entry/test_duty_without_fences.py
+++ b/tests/entry/test_duty_without_fences.py
@@ -8,7 +8,7 @@
 import pytest
 
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.entry.lease_loop import DutyLoop
+from monsoonflow.entry.lease_loop import CellLeaseLoop
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.ownership.cell_lease import (
@@ -31,7 +31,7 @@
 
     name: str
     view: FleetView
-    loop: DutyLoop
+    loop: CellLeaseLoop
     runs: bool = True
     deaf: bool = False
     sequence: int = 0
@@ -43,7 +43,7 @@
     def report(self, now_ms: int) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
-        claim = self.loop.claim()
+        claim = self.loop.current_claim()
         claims = () if claim is None else (claim,)
         self.view.record_sent(self.sequence, claims, now_ms)
         card = NodeRecord(self.name, self.boot, "dc", "1:1", "1:2", "1:3")
@@ -112,7 +112,7 @@
         """Let a node start, with nothing remembered."""
         view = FleetView(name)
         node = Node(name, view, None, boot=boot)
-        node.loop = DutyLoop(
+        node.loop = CellLeaseLoop(
             "llm",
             name,
             boot,
@@ -129,7 +129,7 @@
     def read(self, *names: str) -> None:
         """Let nodes read the duty's row, as their watch does at leisure."""
         for name in names:
-            self.nodes[name].loop.row_changed(self.table.row)
+            self.nodes[name].loop.handle_row(self.table.row)
 
     def holder(self) -> str | None:
         """Return who may order now."""
@@ -164,7 +164,7 @@
     fleet.table.down = not names
     for node in fleet.nodes.values():
         if not names or node.name in names:
-            node.loop.store_reached = False
+            node.loop.store_reachable = False
 
 
 def test_a_holder_goes_on_through_an_outage_of_the_store(fleet):
@@ -180,7 +180,7 @@
 def test_a_holder_that_the_store_refuses_is_not_replaced_while_the_others_hear_it(fleet):
     """The store turns the holder away and serves the others: its row stands still for them."""
     fleet.nodes["a"].refused = True
-    fleet.nodes["a"].loop.store_reached = False
+    fleet.nodes["a"].loop.store_reachable = False
     fleet.run(4_000)
     assert fleet.holder() == "a"
     assert fleet.without_ms() == 0
@@ -274,7 +274,7 @@
     """The holder stops. Its row is read as soon as it says so, not when the watch comes round."""
     node = fleet.nodes["a"]
     node.leaving = True
-    node.loop.release(*node.loop.let_go())
+    node.loop.release_row(*node.loop.drop_lease())
     fleet.run(1_000)
     assert fleet.holder() in ("b", "c", "d")
     assert fleet.without_ms() <= 700
@@ -289,7 +289,7 @@
     fleet.run(1_000)
     assert "b" in fleet.table.row.value["heirs"]
     fleet.nodes["a"].refused = True
-    fleet.nodes["a"].loop.store_reached = False
+    fleet.nodes["a"].loop.store_reachable = False
     fleet.run(5_000)
     assert fleet.holder() == "b"
 
@@ -297,7 +297,7 @@
 def test_a_claimant_that_starts_again_keeps_the_promise_of_its_life_before(fleet):
     """The holder goes on by what a node said before it started again and forgot."""
     fleet.nodes["a"].refused = True
-    fleet.nodes["a"].loop.store_reached = False
+    fleet.nodes["a"].loop.store_reachable = False
     fleet.run(2_500)
     fleet.cut = {("a", "b"), ("b", "a")}
     fleet.start("b", "boot-b2")
@@ -325,7 +325,7 @@
     fleet.run(300)
     assert "d" in fleet.table.row.value["heirs"]
     fleet.nodes["a"].refused = True
-    fleet.nodes["a"].loop.store_reached = False
+    fleet.nodes["a"].loop.store_reachable = False
     fleet.read("d")
     fleet.nodes["d"].loop.loaded = True
     fleet.run(4_000)
@@ -347,18 +347,18 @@
             fleet.table.down = not fleet.table.down
         case 4 | 5:
             node.refused = not node.refused
-            node.loop.store_reached = not node.refused
+            node.loop.store_reachable = not node.refused
         case 6:
             fleet.cut ^= {(node.name, rng.choice(sorted(fleet.nodes)))}
         case 7:
             fleet.cut.clear()
         case 8:
-            released = node.loop.let_go()
+            released = node.loop.drop_lease()
             if released is not None:
-                node.loop.release(*released)
+                node.loop.release_row(*released)
     for reader in fleet.nodes.values():
         if not reader.refused and not fleet.table.down and rng.random() < 0.4:
-            reader.loop.row_changed(fleet.table.row)
+            reader.loop.handle_row(fleet.table.row)
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -8,8 +8,13 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
 from monsoonflow.discovery.models import BackendServer
-from monsoonflow.entry.beliefs import TELL_MS, Beliefs
-from monsoonflow.entry.following import OWN_PAUSE_MS, SERVER_WATCHERS, WATCHERS, Following
+from monsoonflow.entry.cluster_state import ANNOUNCE_MS, ClusterState
+from monsoonflow.entry.store_follower import (
+    FULL_RATE_NODES,
+    OWN_PAUSE_MS,
+    SERVER_WATCHERS,
+    StoreFollower,
+)
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
@@ -50,9 +55,9 @@
 
 @pytest.fixture
 def followed(clock, view):
-    following = Following(
+    following = StoreFollower(
         RowDecoders(),
-        Beliefs(clock),
+        ClusterState(clock),
         view,
         clock,
         lambda _: None,
@@ -74,7 +79,7 @@
 
 
 def test_a_node_of_a_small_fleet_asks_at_its_own_pace(view, clock, followed):
-    hear(view, WATCHERS - 1, clock.now_ms())
+    hear(view, FULL_RATE_NODES - 1, clock.now_ms())
     assert pause(followed.own) == OWN_PAUSE_MS
     assert pause(followed.servers) == 1_000
 
@@ -82,7 +87,7 @@
 def test_ninety_nodes_ask_together_as_often_as_seven(view, clock, followed):
     """Each entry of a server changes every second: 90 nodes made 98 calls a second to the store."""
     hear(view, 90 - 1, clock.now_ms())
-    assert 90 / pause(followed.own) == pytest.approx(WATCHERS / OWN_PAUSE_MS, rel=0.01)
+    assert 90 / pause(followed.own) == pytest.approx(FULL_RATE_NODES / OWN_PAUSE_MS, rel=0.01)
 
 
 def test_of_ninety_nodes_six_ask_for_servers_and_all_together_no_more_than_seven(clock):
@@ -92,12 +97,12 @@
     for name in names:
         view = FleetView(name)
         nothing = [lambda *_: None] * 3
-        following = Following(RowDecoders(), Beliefs(clock), view, clock, *nothing)
+        following = StoreFollower(RowDecoders(), ClusterState(clock), view, clock, *nothing)
         watches = following.start(Feed, NoTasks(), 2_000)
         hear(view, 90, clock.now_ms())
         pauses.append(pause(watches.servers))
     assert pauses.count(1_000) == SERVER_WATCHERS
-    assert sum(1 / each for each in pauses) <= WATCHERS / 1_000 * 1.01
+    assert sum(1 / each for each in pauses) <= FULL_RATE_NODES / 1_000 * 1.01
 
 
 def test_a_node_that_hears_nobody_asks_for_itself(view, clock, followed):
@@ -114,28 +119,28 @@
 
 def test_a_server_that_a_peer_has_met_is_asked_for(clock):
     """One node reads that a server came; the others would read it many seconds later."""
-    teller, hearer = Beliefs(clock), Beliefs(clock)
-    teller.book.put(SERVER, clock.now_ms())
-    report = Heartbeat(CARD, 1, True, False, 1, True, added_servers=teller.recent_came())
-    assert hearer.take_report(report)
-    hearer.book.put(SERVER, clock.now_ms())
-    assert not hearer.take_report(report)
-    hearer.book.remove("i-1", clock.now_ms())
-    assert not hearer.take_report(report)
-    clock.advance(TELL_MS + 1)
-    assert teller.recent_came() == ()
+    teller, hearer = ClusterState(clock), ClusterState(clock)
+    teller.server_registry.put(SERVER, clock.now_ms())
+    report = Heartbeat(CARD, 1, True, False, 1, True, added_servers=teller.recently_added_servers())
+    assert hearer.handle_heartbeat(report)
+    hearer.server_registry.put(SERVER, clock.now_ms())
+    assert not hearer.handle_heartbeat(report)
+    hearer.server_registry.remove("i-1", clock.now_ms())
+    assert not hearer.handle_heartbeat(report)
+    clock.advance(ANNOUNCE_MS + 1)
+    assert teller.recently_added_servers() == ()
 
 
 def test_a_server_that_the_store_does_not_hold_is_asked_for_once(clock):
     """A report names a server that nobody knows, five times a second for ten seconds."""
-    hearer = Beliefs(clock)
+    hearer = ClusterState(clock)
     report = Heartbeat(CARD, 1, True, False, 1, True, added_servers=(SERVER.life,))
     asked = []
     for _ in range(40):
-        asked.append(hearer.take_report(report))
+        asked.append(hearer.handle_heartbeat(report))
         clock.advance(200)
     assert asked.count(True) == 1
-    assert not hearer.book.server_by_life
+    assert not hearer.server_registry.server_by_life
 
 
 @attrs.define
@@ -144,7 +149,7 @@
 
     count: int = 0
 
-    def doubt(self) -> None:
+    def restart_waiting_requests(self) -> None:
         """Ask anew."""
         self.count += 1
 
@@ -158,10 +163,10 @@
     """
     view = FleetView("me")
     nothing = [lambda *_: None] * 3
-    following = Following(RowDecoders(), Beliefs(clock), view, clock, *nothing)
-    following._followed = counted = Doubts()
+    following = StoreFollower(RowDecoders(), ClusterState(clock), view, clock, *nothing)
+    following._store_watches = counted = Doubts()
     hear(view, nodes, clock.now_ms())
     for number in range(lost):
         card = attrs.evolve(CARD, name=f"n{number}")
-        following.take_report(Heartbeat(card, 2, True, False, 1, is_store_reachable=False))
+        following.handle_heartbeat(Heartbeat(card, 2, True, False, 1, is_store_reachable=False))
     assert counted.count == doubts
--- a/tests/entry/test_holder_work.py
+++ b/tests/entry/test_holder_work.py
@@ -12,7 +12,7 @@
 
 from measure.desk_load import CELL, HolderLoad, Size
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.entry.plan_pause import MOST_PAUSE_MS
+from monsoonflow.entry.plan_pause import MAX_PAUSE_MS
 from monsoonflow.transport.models import MessageLimits
 from monsoonflow.transport.server import Port
 from script.ports import free_port
@@ -56,7 +56,7 @@
         self._until(self._all_known)
         for number in range(waiting):
             gevent.spawn(self.ask, f"{MODEL}/waits{number}", FOREVER_MS)
-        self._until(lambda: len(self.load.duty.desk.queued_requests) == waiting)
+        self._until(lambda: len(self.load.duty.scheduler.queued_requests) == waiting)
 
     def _fill_places(self) -> None:
         askers = self.load.askers
@@ -71,7 +71,7 @@
 
     def _all_known(self) -> bool:
         duty = self.load.duty
-        desk = duty.desk if duty is not None else None
+        desk = duty.scheduler if duty is not None else None
         return desk is not None and all(runner.is_known() for runner in desk.runners.values())
 
     def _until(self, reached) -> None:
@@ -87,13 +87,13 @@
         question = self.load.question(adapter)
         question |= {"wait_ms": wait_ms, "on_time_ms": wait_ms, "priority": 1}
         answer = Answer()
-        self.load.duties.answer_placement(Question(orjson.dumps(question)), answer)
+        self.load.duties.answer_slot_request(Question(orjson.dumps(question)), answer)
         return answer.status
 
     def end(self) -> None:
         """End all tasks."""
         self.load.stop()
-        self.load.duty.desk.close()
+        self.load.duty.scheduler.close()
         gevent.sleep(0)
 
 
@@ -164,7 +164,7 @@
     processor, though the news of a few milliseconds can be planned for at once.
     """
     holder = make_holder(7, 20)
-    desk = holder.load.duty.desk
+    desk = holder.load.duty.scheduler
     plan = desk.plan
     plans: list[int] = []
 
@@ -176,25 +176,25 @@
     monkeypatch.setattr(desk, "plan", slow_plan)
     began_s = time.monotonic()
     for _ in range(400):
-        holder.load.duties.wake()
+        holder.load.duties.wake_planner()
         gevent.sleep(0.001)
-    pauses = (time.monotonic() - began_s) * 1000 / MOST_PAUSE_MS
+    pauses = (time.monotonic() - began_s) * 1000 / MAX_PAUSE_MS
     assert 4 <= len(plans) <= pauses + 1, (len(plans), pauses)
 
 
 def test_who_waits_for_what_comes_ready_is_told(make_holder):
     """A question waits and its adapter is there by other means; it is told within 30 ms."""
     holder = make_holder(7, 20)
-    desk = holder.load.duty.desk
+    desk = holder.load.duty.scheduler
     waiter = gevent.spawn(holder.ask, f"{MODEL}/comes", FOREVER_MS)
     gevent.sleep(0.05)
     runner = desk.runners[next(iter(holder.load.runners))]
     runner.slots[f"{MODEL}/comes"] = runner.slots.pop(f"{MODEL}/held0-0")
     holder.clock.advance(30)
-    holder.load.duties.wake()
+    holder.load.duties.wake_planner()
     gevent.sleep(0.2)
     assert waiter.value == 200
-    assert holder.load.duties.duty_of(CELL).desk is desk
+    assert holder.load.duties.lease_of(CELL).scheduler is desk
 
 
 def test_who_waits_for_what_an_order_has_loaded_is_told_at_once(make_holder, monkeypatch):
@@ -203,14 +203,14 @@
     Both who wait for the adapter get it, though no look at all who wait comes in between.
     """
     holder = make_holder(7, 0)
-    desk = holder.load.duty.desk
+    desk = holder.load.duty.scheduler
     runner = next(iter(holder.load.runners.values()))
     del runner.held[f"{MODEL}/held0-0"], desk.runners[runner.life].slots[f"{MODEL}/held0-0"]
     monkeypatch.setattr(desk, "process_queue", lambda *_: None)
     both = [gevent.spawn(holder.ask, f"{MODEL}/comes", FOREVER_MS) for _ in range(2)]
     for _ in range(60):
         holder.clock.advance(10)
-        holder.load.duties.wake()
+        holder.load.duties.wake_planner()
         gevent.sleep(0.01)
     assert [one.value for one in both] == [200, 200]
 
@@ -222,7 +222,7 @@
     same, the place stayed taken for 0.6 s for nobody, and the adapter's own callers went without.
     """
     holder = make_holder(7, 0)
-    desk = holder.load.duty.desk
+    desk = holder.load.duty.scheduler
     asked: list[str] = []
     ask = desk.request_slot
 
@@ -232,7 +232,7 @@
 
     monkeypatch.setattr(desk, "request_slot", noting)
     address = f"127.0.0.1:{free_port()}"
-    port = Port(address, holder.load.duties.answer_placement, MessageLimits, holder.clock)
+    port = Port(address, holder.load.duties.answer_slot_request, MessageLimits, holder.clock)
     assert port.start()
     body = orjson.dumps(holder.load.question(f"{MODEL}/held0-0"))
     head = f"POST /place HTTP/1.1\r\nHost: n0\r\nContent-Length: {len(body)}\r\n\r\n"
--- a/tests/entry/test_lease_loop.py
+++ b/tests/entry/test_lease_loop.py
@@ -6,7 +6,7 @@
 import pytest
 
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.entry.lease_loop import DutyLoop
+from monsoonflow.entry.lease_loop import CellLeaseLoop
 from monsoonflow.fleet.models import CellLeaseClaim, Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from tests.entry.one_row import OneRowTable
@@ -38,7 +38,7 @@
         view = FleetView(name)
         for other in others:
             view.add_record(NodeRecord(other, "x", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"))
-        loop = DutyLoop(
+        loop = CellLeaseLoop(
             "llm", name, f"boot-{name}", 3_000, True, table, view, clock, lambda: True, lambda: True
         )
         loop.loaded = True
@@ -72,7 +72,7 @@
     turn(clock, holder, 300)
     loop, view = make("b", ["a", "c"])
     view.receive(report("c"), clock.now_ms())
-    loop.row_changed(table.row)
+    loop.handle_row(table.row)
     turn(clock, loop, 500)
     assert table.row.value["holder"] == "a"
 
@@ -93,7 +93,7 @@
     again._on_won = lambda: won.append(clock.now_ms())
     for other in others:
         view.receive(report(other), clock.now_ms())
-    again.row_changed(table.row)
+    again.handle_row(table.row)
     began_ms = clock.now_ms()
     turn(clock, again, 1_000)
     assert won
@@ -105,13 +105,13 @@
     turn(clock, holder, 300)
     loop, view = make("b", ["a", "c"])
     view.receive(report("a"), clock.now_ms())
-    loop.row_changed(table.row)
+    loop.handle_row(table.row)
     for sequence in range(2, 14):
         view.receive(report("c", sequence), clock.now_ms())
         turn(clock, loop, 100)
     assert table.row.value["holder"] == "b"
     assert table.row.value["epoch"] == 5
-    holder.row_changed(table.row)
+    holder.handle_row(table.row)
     assert not holder.holds(clock.now_ms())
 
 
@@ -131,13 +131,13 @@
     assert table.row.value["heirs"] == ["b"]
     heir, view_b = make("b", ["a"])
     view_b.receive(report("a"), clock.now_ms())
-    heir.row_changed(table.row)
-    table.down, heir.store_reached = True, False
+    heir.handle_row(table.row)
+    table.down, heir.store_reachable = True, False
     turn(clock, heir, 1_500)
-    assert heir.held.row.epoch == 2
+    assert heir.held_lease.row.epoch == 2
     view_b.receive(report("c"), clock.now_ms())
     assert heir.holds(clock.now_ms())
-    table.down, heir.store_reached = False, True
+    table.down, heir.store_reachable = False, True
     turn(clock, heir, 2_000)
     assert table.row.value == {**table.row.value, "holder": "b", "epoch": 5}
 
@@ -170,7 +170,7 @@
     """The holder named an heir a moment ago and told it; the heir reads rows seconds later."""
     heir, view = make("b", ["a"])
     view.receive(report("a"), clock.now_ms())
-    heir.store_reached = False
+    heir.store_reachable = False
     view.apply_claim(CellLeaseClaim("llm", "a", 9, ("b",)))
     turn(clock, heir, 1_500)
-    assert heir.held.row.epoch == 10
+    assert heir.held_lease.row.epoch == 10
--- a/tests/entry/test_pass_through.py
+++ b/tests/entry/test_pass_through.py
@@ -59,7 +59,7 @@
 
 def test_an_unknown_route_is_404_and_no_configuration_is_503(fleet, one):
     assert fleet.ask(one, "/none/x", "r1").head.status == 404
-    one.daemon.beliefs.table = None
+    one.daemon.cluster_state.route_table = None
     answer = fleet.ask(one, "/look/x", "r2")
     assert answer.head.status == 503
     assert answer.head.value(b"retry-after") is not None
@@ -111,7 +111,7 @@
     first, second = fleet.servers
     first.faults.lose = 9
     second.faults.shed = 100
-    one.daemon.conditions.record_result("i-2", False, 10, one.daemon.clock.now_ms())
+    one.daemon.health_tracker.record_result("i-2", False, 10, one.daemon.clock.now_ms())
     answer = fleet.ask(one, "/look/x", "r1", deadline_ms=500)
     assert 1 <= first.ran["r1"] <= 2
     assert answer.head.status in (502, 504)
@@ -144,7 +144,9 @@
 def test_a_leaving_server_gets_nothing_new(fleet, one):
     leaving, staying = fleet.servers
     fleet.store.put("servers", "i-1", leaving.entry(state="draining"))
-    wait_for(lambda: not one.daemon.beliefs.book.is_accepting_work(ServerLife("i-1")))
+    wait_for(
+        lambda: not one.daemon.cluster_state.server_registry.is_accepting_work(ServerLife("i-1"))
+    )
     for number in range(10):
         fleet.ask(one, "/look/x", f"r{number}")
     assert not leaving.requests
@@ -158,7 +160,7 @@
     """
     short = route("write", "non_idempotent", "plain", attempts=1, timeoutMs=300)
     fleet.configure(version=2, routes=[short])
-    wait_for(lambda: one.daemon.beliefs.table.version == 2)
+    wait_for(lambda: one.daemon.cluster_state.route_table.version == 2)
     for server in fleet.servers:
         server.faults.slow_ms = 2_000
     began = gevent.get_hub().loop.now()
@@ -194,15 +196,15 @@
     fleet.store.put("servers", "i-worse", {"service": 5})
     gevent.sleep(0.2)
     assert fleet.ask(one, "/look/x", "r1").head.status == 200
-    assert one.daemon.beliefs.table.version == 1
+    assert one.daemon.cluster_state.route_table.version == 1
 
 
 def test_a_lower_version_never_comes_into_force(fleet, one):
     fleet.configure(version=5)
-    wait_for(lambda: one.daemon.beliefs.table.version == 5)
+    wait_for(lambda: one.daemon.cluster_state.route_table.version == 5)
     fleet.configure(version=4, routes=[])
     gevent.sleep(0.2)
-    assert one.daemon.beliefs.table.version == 5
+    assert one.daemon.cluster_state.route_table.version == 5
     assert fleet.ask(one, "/look/x", "r1").head.status == 200
 
 
@@ -229,7 +231,9 @@
     """
     hanging, good = fleet.servers
     for _ in range(9):
-        one.daemon.conditions.record_result(ServerLife("i-1"), True, 1, one.daemon.clock.now_ms())
+        one.daemon.health_tracker.record_result(
+            ServerLife("i-1"), True, 1, one.daemon.clock.now_ms()
+        )
     hanging.faults.slow_ms = 30_000
     began = gevent.get_hub().loop.now()
     answers = [fleet.ask(one, "/look/x", f"r{number}") for number in range(12)]
@@ -256,7 +260,7 @@
         sock.close()
     wait_for(lambda: sum(server.left for server in fleet.servers) == 5, 1.0)
     now_ms = one.daemon.clock.now_ms()
-    shares = [one.daemon.conditions.failure_share(f"i-{number}", now_ms) for number in (1, 2)]
+    shares = [one.daemon.health_tracker.failure_share(f"i-{number}", now_ms) for number in (1, 2)]
     assert shares == [0.0, 0.0]
 
 
@@ -281,7 +285,7 @@
     fleet.bounds = PeerBounds(lease_ms=900, fenced=True, retry_ratio=0.0, retry_reserve=0.0)
     servers = [fleet.plain(f"i-{number}") for number in range(4)]
     node = fleet.node()
-    wait_for(lambda: len(node.daemon.beliefs.book.servers_of("plain")) == 4)
+    wait_for(lambda: len(node.daemon.cluster_state.server_registry.servers_of("plain")) == 4)
     for server in servers[:3]:
         server.stop()
     answers = [fleet.ask(node, "/write/x", f"r{number}") for number in range(6)]
@@ -293,12 +297,12 @@
     fleet.plain("i-1").stop()
     fleet.plain("i-2").stop()
     node = fleet.node()
-    wait_for(lambda: len(node.daemon.beliefs.book.servers_of("plain")) == 2)
+    wait_for(lambda: len(node.daemon.cluster_state.server_registry.servers_of("plain")) == 2)
     begun_ms = node.daemon.clock.now_ms()
     answer = fleet.ask(node, "/write/x", "r1")
     assert answer.head.status == 503
     assert node.daemon.clock.now_ms() - begun_ms < 500
-    assert node.daemon.budget.usage("plain", begun_ms).retries <= 12
+    assert node.daemon.retry_budget.usage("plain", begun_ms).retries <= 12
 
 
 def test_the_line_of_a_send_tells_how_old_the_knowledge_of_servers_is(fleet, caplog):
--- a/tests/entry/test_poison.py
+++ b/tests/entry/test_poison.py
@@ -107,7 +107,7 @@
         ]
         gevent.joinall(tasks)
         wait_for(lambda: len(fleet.servers) == 5)
-    suspects = [one.daemon.quarantine.suspects for one in fleet.nodes]
+    suspects = [one.daemon.quarantine_manager.suspects for one in fleet.nodes]
     assert max(len(found.quarantined()) for found in suspects) <= 1
 
 
@@ -154,5 +154,5 @@
     assert answer.head.status == 500
     poisoned.faults.poison, poisoned.faults.fail = POISON, 0
     send(fleet, node, "p2", POISON)
-    wait_for(lambda: node.daemon.quarantine.suspects.quarantined())
+    wait_for(lambda: node.daemon.quarantine_manager.suspects.quarantined())
     assert len(poisoned.ended) <= 4
--- a/tests/entry/test_residency.py
+++ b/tests/entry/test_residency.py
@@ -5,7 +5,7 @@
 from monsoonflow.core.adapter import AdapterRef
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.entry.residency import MISSING_MS, Residency
+from monsoonflow.entry.residency import MISSING_REPORT_MS, Residency
 from monsoonflow.fleet.models import ResidentAdapters
 
 LIFE = ServerLife("i-1")
@@ -20,18 +20,18 @@
     """
     residency = Residency(ManualClock(0))
     told = (ResidentAdapters(LIFE, ()),)
-    residency.take_told("s", told)
-    residency.granted(LIFE, REF)
-    residency.take_told("s", told)
+    residency.apply_peer_report("s", told)
+    residency.record_granted(LIFE, REF)
+    residency.apply_peer_report("s", told)
     assert residency.holders("m/a1") == {LIFE: 2}
 
 
 def test_a_newer_word_is_taken():
     clock = ManualClock(0)
     residency = Residency(clock)
-    residency.take_told("s", (ResidentAdapters(LIFE, (REF,)),))
-    residency.missing(LIFE, "m/a1")
-    clock.advance(MISSING_MS + 1)
+    residency.apply_peer_report("s", (ResidentAdapters(LIFE, (REF,)),))
+    residency.record_missing(LIFE, "m/a1")
+    clock.advance(MISSING_REPORT_MS + 1)
     assert residency.holders("m/a1") == {}
-    residency.take_told("s", (ResidentAdapters(LIFE, (REF,)),))
+    residency.apply_peer_report("s", (ResidentAdapters(LIFE, (REF,)),))
     assert residency.holders("m/a1") == {LIFE: 2}
--- a/tests/entry/test_restarts.py
+++ b/tests/entry/test_restarts.py
@@ -31,7 +31,11 @@
     assert fleet.generate(one, "a1", "r1").head.status == 200
     runner.start_again(2_000, MODEL)
     register(fleet, runner)
-    wait_for(lambda: one.daemon.beliefs.book.is_accepting_work(ServerLife.of("i-1", 2_000)))
+    wait_for(
+        lambda: one.daemon.cluster_state.server_registry.is_accepting_work(
+            ServerLife.of("i-1", 2_000)
+        )
+    )
     assert fleet.generate(one, "a1", "r2").head.status == 200
     assert runner.adapters == {"a1": 1}
     assert not runner.overfull
@@ -43,7 +47,7 @@
     assert fleet.generate(one, "a1", "r1").head.status == 200
     runner.start_again(2_000, MODEL)
     assert fleet.generate(one, "a1", "r2").head.status == 200
-    assert one.daemon.beliefs.book.is_accepting_work(ServerLife.of("i-1", 2_000))
+    assert one.daemon.cluster_state.server_registry.is_accepting_work(ServerLife.of("i-1", 2_000))
 
 
 def test_a_runner_that_starts_again_and_again_goes_on_serving(fleet, one):
@@ -60,7 +64,7 @@
     second = fleet.runner("i-2")
     second.start_again(1_500, MODEL)
     register(fleet, second)
-    wait_for(lambda: len(one.daemon.beliefs.book.servers_of("llm")) == 2)
+    wait_for(lambda: len(one.daemon.cluster_state.server_registry.servers_of("llm")) == 2)
     for runner in (first, second):
         runner.faults.cut_after = 2
     cut = gevent.spawn(fleet.generate, one, "a1", "r1")
@@ -81,7 +85,7 @@
     second = fleet.runner("i-2")
     second.start_again(1_500, MODEL)
     register(fleet, second)
-    book = one.daemon.beliefs.book
+    book = one.daemon.cluster_state.server_registry
     wait_for(lambda: len(book.servers_of("llm")) == 2)
     fleet.store.put("servers", "i-1", {**first.entry(), "slots": "96"})
     wait_for(lambda: len(book.servers_of("llm")) == 1)
@@ -98,7 +102,7 @@
     begin on it long after version 2 was confirmed.
     """
     fleet.generate(one, "a1", "r0")
-    beliefs, clock = one.daemon.beliefs, one.daemon.clock
+    beliefs, clock = one.daemon.cluster_state, one.daemon.clock
     placement = one.daemon.gateway._runner_chooser.placement
     for version in (2, 3, 4):
         fleet.servers[0].newest["a1"] = version
--- a/tests/entry/test_silent_peers.py
+++ b/tests/entry/test_silent_peers.py
@@ -8,8 +8,8 @@
 import pytest
 
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.entry.beliefs import Beliefs
-from monsoonflow.entry.daemon import SWEEP_EVERY_MS
+from monsoonflow.entry.cluster_state import ClusterState
+from monsoonflow.entry.daemon import MAINTENANCE_INTERVAL_MS
 from monsoonflow.entry.peers import FETCH_TIMEOUT_MS, PeerClient
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
@@ -44,12 +44,12 @@
         gevent.sleep(timeout_ms / 1000)
         return Lost(True, "no answer")
 
-    daemon.peers.call = silent
+    daemon.peer_client.call = silent
     for number in range(SILENT):
         daemon.view.receive(report(number, 99), daemon.clock.now_ms())
-    gevent.sleep(SWEEP_EVERY_MS / 1000 * 1.5)
+    gevent.sleep(MAINTENANCE_INTERVAL_MS / 1000 * 1.5)
     changed = attrs.evolve(daemon.settings, seeds=("127.0.0.9:1",))
-    daemon._reread = lambda: changed
+    daemon._reread_settings = lambda: changed
     changed_ms = daemon.clock.now_ms()
     while daemon.settings != changed:
         gevent.sleep(0.02)
@@ -73,7 +73,7 @@
     for number in range(silent + 1):
         view.receive(report(number, 9), clock.now_ms())
         clock.advance(200)
-    began_ms, beliefs = clock.now_ms(), Beliefs(clock)
-    client.fetch_newer(beliefs)
-    assert beliefs.table.version == 9
+    began_ms, beliefs = clock.now_ms(), ClusterState(clock)
+    client.fetch_newer_configuration(beliefs)
+    assert beliefs.route_table.version == 9
     assert clock.now_ms() - began_ms < FETCH_TIMEOUT_MS
--- a/tests/entry/test_stopping.py
+++ b/tests/entry/test_stopping.py
@@ -15,7 +15,7 @@
 @pytest.fixture
 def stopping_node(fleet, monkeypatch):
     """Return a node that stops while a long stream runs through it, and the runner."""
-    monkeypatch.setattr(stopping, "OUTLAST_ADDRESSES_MS", 300)
+    monkeypatch.setattr(stopping, "KEEP_LISTENING_MS", 300)
     runner = fleet.runner("i-1")
     node = fleet.node()
     fleet.holder()
@@ -68,7 +68,7 @@
     Told in turns of twelve, the last of 195 hears it after 3.4 s and goes on naming a node that
     takes no new connections after 2.5 s.
     """
-    monkeypatch.setattr(stopping, "OUTLAST_ADDRESSES_MS", 100)
+    monkeypatch.setattr(stopping, "KEEP_LISTENING_MS", 100)
     daemon = fleet.node().daemon
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     listener.bind(("127.0.0.1", 0))
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -88,8 +88,8 @@
     for runner in runners:
         runner.newest["a1"] = 2
     fleet.store.put("op", "version/m.a1", {"model": "m", "adapter": "a1", "version": 2})
-    wait_for(lambda: one.daemon.beliefs.version_by_adapter.get("m/a1") == 2)
-    named = one.daemon.beliefs._named_by_adapter["m/a1"]
+    wait_for(lambda: one.daemon.cluster_state.version_by_adapter.get("m/a1") == 2)
+    named = one.daemon.cluster_state._published_by_adapter["m/a1"]
     named[:] = [attrs.evolve(entry, at_ms=entry.at_ms - 4_000) for entry in named]
     assert fleet.generate(one, "a1", "r2").head.status == 200
     request = next(
@@ -150,7 +150,7 @@
 
 def test_a_node_that_starts_in_an_outage_learns_from_the_others(fleet, one):
     fleet.plain("p-1")
-    wait_for(lambda: one.daemon.beliefs.book.servers_of("plain"))
+    wait_for(lambda: one.daemon.cluster_state.server_registry.servers_of("plain"))
     fleet.store.faults.down = True
     late = fleet.node(seeds=(one.daemon.settings.peer_address,))
     assert fleet.ask(late, "/look/x", "r1").head.status == 200
@@ -159,12 +159,14 @@
 def test_a_node_cut_off_from_the_store_gets_a_newer_configuration_from_the_others(fleet, one):
     other = fleet.node()
     wait_for(lambda: other.daemon.view.is_alive("n1", other.daemon.clock.now_ms()))
-    other.daemon.followed.operator._feed.changes = lambda *_: gevent.sleep(60)
+    other.daemon.store_watches.operator._feed.changes = lambda *_: gevent.sleep(60)
     gevent.sleep(0.1)
     fleet.configure(version=7)
-    wait_for(lambda: one.daemon.beliefs.table.version == 7)
-    other.daemon.beliefs.table = attrs.evolve(one.daemon.beliefs.table, version=1)
-    wait_for(lambda: other.daemon.beliefs.table.version == 7)
+    wait_for(lambda: one.daemon.cluster_state.route_table.version == 7)
+    other.daemon.cluster_state.route_table = attrs.evolve(
+        one.daemon.cluster_state.route_table, version=1
+    )
+    wait_for(lambda: other.daemon.cluster_state.route_table.version == 7)
 
 
 def test_a_stop_ends_no_request_and_hands_the_duty_on(fleet, one, runners):
@@ -183,9 +185,9 @@
     stopping_now = gevent.spawn(stopping.stop_gracefully, holder.daemon)
     wait_for(lambda: answers)
     assert event_ids(answers[0].body) == list(range(1, 21))
-    assert not holder.daemon.ready()
+    assert not holder.daemon.is_ready()
     rest = other if holder is one else one
-    wait_for(lambda: rest.daemon.duties.duty_of("llm").desk is not None)
+    wait_for(lambda: rest.daemon.cell_leases.lease_of("llm").scheduler is not None)
     stopping_now.join(10)
     assert stopping_now.ready()
 
@@ -196,8 +198,8 @@
     Half an answer is worth nothing to its caller: the rest is asked for before all others.
     """
     asked = []
-    duties = one.daemon.duties
-    desk = duties.duty_of("llm").desk
+    duties = one.daemon.cell_leases
+    desk = duties.lease_of("llm").scheduler
     ask = desk.request_slot
     desk.request_slot = lambda waiter, *rest: (asked.append(waiter.priority), ask(waiter, *rest))
     fleet.generate(one, "a1", "warm")
@@ -215,7 +217,7 @@
     fleet.configure(
         version=2, routes=[route("read", "stream", "llm", resumable=True, targetLatencyMs=200)]
     )
-    wait_for(lambda: one.daemon.beliefs.table.version == 2)
+    wait_for(lambda: one.daemon.cluster_state.route_table.version == 2)
     fleet.generate(one, "a1", "warm")
     hanging = next(runner for runner in runners if "a1" in runner.adapters)
     hanging.faults.slow_ms = 30_000
@@ -223,7 +225,7 @@
     assert event_ids(answer.body) == [1, 2, 3, 4]
     assert hanging.left == 1
     assert (
-        one.daemon.conditions.failure_share(
+        one.daemon.health_tracker.failure_share(
             ServerLife(hanging.server_id), one.daemon.clock.now_ms()
         )
         > 0
@@ -238,11 +240,11 @@
     """
     quick = route("read", "stream", "llm", resumable=True, targetLatencyMs=600, gapAimMs=100)
     fleet.configure(version=2, routes=[{**quick, "timeoutMs": 8_000}])
-    wait_for(lambda: one.daemon.beliefs.table.version == 2)
+    wait_for(lambda: one.daemon.cluster_state.route_table.version == 2)
     for runner in runners:
         runner.start_again(1_000)
-    one.daemon.duties.duty_of("llm").loop.let_go()
-    one.daemon.duties.duty_of("llm").loop._may_claim = lambda: False
+    one.daemon.cell_leases.lease_of("llm").lease_loop.drop_lease()
+    one.daemon.cell_leases.lease_of("llm").lease_loop._may_claim = lambda: False
     began_ms = one.daemon.clock.now_ms()
     told = {"X_Model": "m/a1", "X_Token_Count": "100,20"}
     answer = fleet.ask(one, "/read/x", "r1", b"prompt", deadline_ms=8_000, **told)
@@ -271,7 +273,7 @@
     holder.adapters.clear()
     holder.sequence += 1
     for node in (one, other):
-        wait_for(lambda node=node: node.daemon.duties.residency.holders("m/a1"))
+        wait_for(lambda node=node: node.daemon.cell_leases.residency.holders("m/a1"))
     answer = fleet.generate(other if fleet.holder() is one else one, "a1", "r2")
     assert answer.head.status == 200
     assert asked.count(b"r2") <= 3
@@ -285,7 +287,7 @@
     """
     caplog.set_level("INFO")
     fleet.generate(one, "a1", "r1")
-    wait_for(lambda: one.daemon.duties.residency.holders("m/a1"))
+    wait_for(lambda: one.daemon.cell_leases.residency.holders("m/a1"))
     fleet.generate(one, "a1", "r2")
     lines = [line for line in caplog.messages if "event=request_sent" in line]
     assert [re.search(r"why=(\w+)", line)[1] for line in lines] == ["placed", "held"]
@@ -301,7 +303,7 @@
     """
     slow = route("read", "stream", "llm", resumable=True, gapAimMs=400, timeoutMs=9_000)
     fleet.configure(version=2, routes=[slow])
-    wait_for(lambda: one.daemon.report_version() == 2)
+    wait_for(lambda: one.daemon.config_version() == 2)
     fleet.generate(one, "a1", "warm")
     for runner in runners:
         runner.faults.slow_ms = 8_000
--- a/tests/entry/test_versions.py
+++ b/tests/entry/test_versions.py
@@ -11,8 +11,8 @@
 
 from monsoonflow.core.adapter import AdapterRef
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.entry.beliefs import Beliefs
-from monsoonflow.entry.following import Following
+from monsoonflow.entry.cluster_state import ClusterState
+from monsoonflow.entry.store_follower import StoreFollower
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
@@ -60,16 +60,16 @@
 
     clock: ManualClock
     feed: Feed
-    beliefs: Beliefs
+    beliefs: ClusterState
     step: Callable[[], int]
 
 
 @pytest.fixture
 def node() -> Node:
     clock, feed = ManualClock(100_000), Feed()
-    beliefs = Beliefs(clock)
+    beliefs = ClusterState(clock)
     nothing = [lambda *_: None] * 3
-    following = Following(RowDecoders(), beliefs, FleetView("me"), clock, *nothing)
+    following = StoreFollower(RowDecoders(), beliefs, FleetView("me"), clock, *nothing)
     followed = following.start(lambda: feed, NoTasks(), 3_000)
     return Node(clock, feed, beliefs, followed.operator.step)
 
@@ -79,7 +79,7 @@
     node.clock.advance(10_000)
     node.feed.next = Changes((row(2, 2),), 2)
     node.step()
-    assert node.beliefs.passed_by_ms(NAME, 1) == node.clock.now_ms()
+    assert node.beliefs.superseded_at_ms(NAME, 1) == node.clock.now_ms()
 
 
 def test_a_node_that_starts_after_a_version_was_named_gives_the_old_one_no_new_term(node):
@@ -91,7 +91,7 @@
     """
     node.feed.all = Changes((row(2, 2),), 2)
     node.step()
-    assert node.beliefs.passed_by_ms(NAME, 1) <= node.clock.now_ms() - 60_000
+    assert node.beliefs.superseded_at_ms(NAME, 1) <= node.clock.now_ms() - 60_000
 
 
 @pytest.mark.parametrize("gap", [Unavailable("down"), HistoryLost()])
@@ -105,19 +105,19 @@
     node.clock.advance(2_000)
     node.feed.next = node.feed.all = Changes((row(2, 9),), 9)
     node.step()
-    assert node.beliefs.passed_by_ms(NAME, 1) == heard_ms
+    assert node.beliefs.superseded_at_ms(NAME, 1) == heard_ms
 
 
 def test_a_version_that_a_peer_tells_counts_from_when_the_peer_knew_it():
     """A report repeats news for ten seconds; whoever hears it late may not start the count anew."""
     clock = ManualClock(100_000)
-    teller, hearer = Beliefs(clock), Beliefs(clock)
-    teller.take_version(AdapterRef(NAME, 2), "store")
+    teller, hearer = ClusterState(clock), ClusterState(clock)
+    teller.record_version(AdapterRef(NAME, 2), "store")
     named_ms = clock.now_ms()
     clock.advance(4_000)
     report = Heartbeat(CARD, 1, True, False, 1, True, versions=teller.recent_versions())
-    hearer.take_report(report)
-    assert hearer.passed_by_ms(NAME, 1) == named_ms
+    hearer.handle_heartbeat(report)
+    assert hearer.superseded_at_ms(NAME, 1) == named_ms
 
 
 @pytest.fixture
--- a/tests/entry/test_watchers.py
+++ b/tests/entry/test_watchers.py
@@ -9,8 +9,8 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.entry.beliefs import Beliefs
-from monsoonflow.entry.following import Followed, Following
+from monsoonflow.entry.cluster_state import ClusterState
+from monsoonflow.entry.store_follower import StoreFollower, StoreWatches
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
@@ -67,10 +67,10 @@
     """A node that follows servers and tells the others."""
 
     card: NodeRecord
-    beliefs: Beliefs
+    beliefs: ClusterState
     view: FleetView
     rounds: HeartbeatRounds
-    followed: Followed | None = None
+    followed: StoreWatches | None = None
     asks_at_ms: int = 0
     asked_ms: int = 0
     sequence: int = 0
@@ -91,8 +91,8 @@
 
     def _node(self, name: str) -> Node:
         card = NodeRecord(name, name, "dc", name, name, name)
-        node = Node(card, Beliefs(self.clock), FleetView(name), HeartbeatRounds(name))
-        following = Following(
+        node = Node(card, ClusterState(self.clock), FleetView(name), HeartbeatRounds(name))
+        following = StoreFollower(
             RowDecoders(),
             node.beliefs,
             node.view,
@@ -116,15 +116,15 @@
             False,
             1,
             True,
-            departed_servers=node.beliefs.recent_left(),
-            added_servers=node.beliefs.recent_came(),
+            departed_servers=node.beliefs.recently_departed_servers(),
+            added_servers=node.beliefs.recently_added_servers(),
         )
         others = [name for name in self.names if name != node.card.name]
         told = others if everybody else node.rounds.next_peers(others, (), False)
         for name in told:
             other = self.by_name[name]
             heard = other.up and self.rng.random() >= LOST and other.view.receive(report, now_ms)
-            if heard and other.beliefs.take_report(report):
+            if heard and other.beliefs.handle_heartbeat(report):
                 poked_ms = max(now_ms, other.asked_ms + LEAST_PAUSE_MS)
                 other.asks_at_ms = min(other.asks_at_ms, poked_ms)
 
@@ -148,7 +148,9 @@
         """Return how long it takes until no node would use a server that leaves now."""
         self.store.put(str(life), "draining")
         began_ms = self.clock.now_ms()
-        while any(node.up and node.beliefs.book.is_accepting_work(life) for node in self.nodes):
+        while any(
+            node.up and node.beliefs.server_registry.is_accepting_work(life) for node in self.nodes
+        ):
             self.run(STEP_MS)
             if self.clock.now_ms() - began_ms > 40_000:
                 break
--- a/tests/entry/test_who_tells.py
+++ b/tests/entry/test_who_tells.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from monsoonflow.entry.following import SERVER_WATCHERS
+from monsoonflow.entry.store_follower import SERVER_WATCHERS
 from tests.entry.silent_store import Fleet, left
 
 DRAIN_MS = 2_000
--- a/tests/entry/unequal_fleet.py
+++ b/tests/entry/unequal_fleet.py
@@ -7,8 +7,8 @@
 import attrs
 
 from monsoonflow.core.clock import ManualClock
-from monsoonflow.entry.following import OWN_PAUSE_MS, WATCHERS
-from monsoonflow.entry.lease_loop import DutyLoop
+from monsoonflow.entry.lease_loop import CellLeaseLoop
+from monsoonflow.entry.store_follower import FULL_RATE_NODES, OWN_PAUSE_MS
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
 from monsoonflow.fleet.models import Heartbeat, NodeRecord
 from monsoonflow.fleet.view import FleetView
@@ -49,7 +49,7 @@
 
     card: NodeRecord
     view: FleetView
-    loop: DutyLoop
+    loop: CellLeaseLoop
     rounds: HeartbeatRounds
     started_ms: int
     sequence: int = 0
@@ -69,7 +69,7 @@
     def report(self, now_ms: int) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
-        claim = self.loop.claim()
+        claim = self.loop.current_claim()
         claims = () if claim is None else (claim,)
         self.view.record_sent(self.sequence, claims, now_ms)
         return Heartbeat(
@@ -115,9 +115,9 @@
         """Tell a node to stop: it gives up its duty and ends a while later."""
         member = self.members[name]
         member.leaving = True
-        held = member.loop.let_go()
+        held = member.loop.drop_lease()
         if held is not None:
-            member.loop.release(*held)
+            member.loop.release_row(*held)
         self._tell(member)
         self.agenda.append((self.clock.now_ms() + STOP_TAKES_MS, "die", name))
 
@@ -130,7 +130,7 @@
         """Let the store be lost for all, or be back."""
         self.table.down = down
         for member in self.members.values():
-            member.loop.store_reached = not down
+            member.loop.store_reachable = not down
 
     def run(self, for_ms: int) -> None:
         """Let time pass, and note who holds the duty."""
@@ -156,7 +156,7 @@
     def holder(self) -> str | None:
         """Return who may order now."""
         now_ms = self.clock.now_ms()
-        held = [m for m in self.members.values() if m.up and m.loop.held.row is not None]
+        held = [m for m in self.members.values() if m.up and m.loop.held_lease.row is not None]
         found = [member.name for member in held if member.loop.holds(now_ms)]
         assert len(found) <= 1
         return found[0] if found else None
@@ -193,7 +193,7 @@
             HeartbeatRounds(name),
             now_ms,
         )
-        member.loop = DutyLoop(
+        member.loop = CellLeaseLoop(
             CELL,
             name,
             boot,
@@ -212,12 +212,12 @@
         if self.table.down:
             return
         heard = len(member.view.heartbeats(now_ms))
-        member.read_at_ms = now_ms + int(OWN_PAUSE_MS * max(1.0, (heard + 1) / WATCHERS))
+        member.read_at_ms = now_ms + int(OWN_PAUSE_MS * max(1.0, (heard + 1) / FULL_RATE_NODES))
         for other in self.members.values():
             if other is not member:
                 member.view.add_record(other.card)
         if self.table.row is not None:
-            member.loop.row_changed(self.table.row)
+            member.loop.handle_row(self.table.row)
         member.loop.loaded = True
 
     def _tell(self, member: Member) -> None:
--- a/tests/fleet/test_large_fleet.py
+++ b/tests/fleet/test_large_fleet.py
@@ -7,7 +7,7 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.core.server_life import ServerLife
-from monsoonflow.entry.lease_loop import DutyLoop
+from monsoonflow.entry.lease_loop import CellLeaseLoop
 from monsoonflow.fleet.heartbeat_rounds import HEARTBEAT_INTERVAL_MS, HeartbeatRounds
 from monsoonflow.fleet.models import CellLeaseClaim, Heartbeat, NodeRecord, ResidentAdapters
 from monsoonflow.fleet.view import FleetView
@@ -23,7 +23,7 @@
 
     card: NodeRecord
     view: FleetView
-    loop: DutyLoop
+    loop: CellLeaseLoop
     rounds: HeartbeatRounds
     sequence: int = 0
     up: bool = True
@@ -31,7 +31,7 @@
     def report(self) -> Heartbeat:
         """Return its word about itself."""
         self.sequence += 1
-        claim = self.loop.claim()
+        claim = self.loop.current_claim()
         claims = (claim,) if claim is not None else ()
         return Heartbeat(self.card, self.sequence, True, False, 1, True, claims=claims)
 
@@ -49,7 +49,7 @@
 
     def _node(self, name: str) -> Node:
         view = FleetView(name)
-        loop = DutyLoop(
+        loop = CellLeaseLoop(
             "llm",
             name,
             f"boot-{name}",
@@ -77,7 +77,7 @@
                 if now_ms % HEARTBEAT_INTERVAL_MS == 0:
                     self._tell(node, now_ms)
                 if self.table.row is not None and now_ms % 1_000 == 0:
-                    node.loop.row_changed(self.table.row)
+                    node.loop.handle_row(self.table.row)
                 node.loop.step()
 
     def _tell(self, node: Node, now_ms: int) -> None:
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from monsoonflow.discovery.models import BackendServer
-from monsoonflow.entry.following import decode_card, encode_card
-from monsoonflow.entry.lease_loop import to_duty
+from monsoonflow.entry.lease_loop import decode_cell_lease
+from monsoonflow.entry.store_follower import decode_node_record, encode_node_record
 from monsoonflow.fleet.models import NodeRecord
 from monsoonflow.ownership.cell_lease import CellLeaseRow
 from monsoonflow.platform.configuration import decode_adapter_version, decode_routes
@@ -147,8 +147,10 @@
     assert isinstance(decode_server("i-1", body), str | BackendServer)
     assert isinstance(decode_routes(body), str | RouteTable)
     assert isinstance(decode_adapter_version(body), str) or body
-    assert isinstance(decode_card(body), str | NodeRecord)
-    assert to_duty("c", body) is None or isinstance(to_duty("c", body), CellLeaseRow)
+    assert isinstance(decode_node_record(body), str | NodeRecord)
+    assert decode_cell_lease("c", body) is None or isinstance(
+        decode_cell_lease("c", body), CellLeaseRow
+    )
 
 
 def paths(value: Any, at: tuple = ()) -> list[tuple]:
@@ -192,15 +194,15 @@
 )
 def test_a_spoilt_duty_names_no_holder(changes):
     good = {"holder": "n1", "boot": "b", "epoch": 5, "counter": 1, "heirs": [], "released": False}
-    assert to_duty("c", orjson.dumps(good)).holder == "n1"
-    assert to_duty("c", orjson.dumps({**good, **changes})) is None
+    assert decode_cell_lease("c", orjson.dumps(good)).holder == "n1"
+    assert decode_cell_lease("c", orjson.dumps({**good, **changes})) is None
 
 
 @pytest.mark.parametrize("changes", [{"peer": 5}, {"name": None}, {"callers": ["10.0.0.1:1"]}])
 def test_a_spoilt_card_names_no_node(changes):
     good = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
-    assert isinstance(decode_card(orjson.dumps(good)), NodeRecord)
-    assert isinstance(decode_card(orjson.dumps({**good, **changes})), str)
+    assert isinstance(decode_node_record(orjson.dumps(good)), NodeRecord)
+    assert isinstance(decode_node_record(orjson.dumps({**good, **changes})), str)
 
 
 @pytest.mark.parametrize(
@@ -220,9 +222,9 @@
 def test_a_card_is_good_whatever_it_tells_of_its_machine(told, cores):
     """Cards of nodes of an older version tell nothing of it; others may tell anything."""
     good = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
-    assert decode_card(orjson.dumps({**good, **told})).cores == cores
+    assert decode_node_record(orjson.dumps({**good, **told})).cores == cores
 
 
 def test_a_card_survives_its_row():
     card = NodeRecord("n", "b", "dc", "1:1", "1:2", "1:3", 2.151)
-    assert decode_card(orjson.dumps(encode_card(card))) == card
+    assert decode_node_record(orjson.dumps(encode_node_record(card))) == card
