--- a/monsoonflow/fleet/__init__.py
+++ b/monsoonflow/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Lets entry nodes tell each other what they have in progress and what they know."""
+"""Heartbeats between entry nodes, and what a node knows of its peers from them."""
--- a/monsoonflow/fleet/codec.py
+++ b/monsoonflow/fleet/codec.py
@@ -1,4 +1,4 @@
-"""Writes and reads node reports and signs of life as small JSON arrays: one datagram each."""
+"""Encodes and decodes the messages between nodes as small JSON arrays, one datagram each."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 )
 
 ZLIB_LEVEL: Final = 1
-"""Names repeat within a report: a third of the bytes for some 20 us."""
+"""Names repeat within a heartbeat: level 1 reduces it to a third of its bytes in about 20 us."""
 
 MAX_HEARTBEAT_BYTES: Final = 1 << 20
-"""A datagram that would unpack to more is no report."""
+"""A datagram that decompresses to more is rejected."""
 
 HEARTBEAT_FORMAT: Final = 4
-"""First field of each report; a node of another version is not understood and is left alone."""
+"""First field of each heartbeat; a heartbeat of another format is ignored."""
 
 SHORT_HEARTBEAT_FORMAT: Final = "s1"
-"""First field of each sign of life; a node of an older version leaves it alone."""
+"""First field of each short heartbeat; a node of an older version ignores such messages."""
 
 WORK_DELTA_FORMAT: Final = "w1"
-"""First field of each change of work."""
+"""First field of each work delta."""
 
 HEARTBEAT_REQUEST: Final = b"?"
-"""Asks a node whose sign of life was heard for its whole report."""
+"""Requests a full heartbeat from a node of which only a short one was received."""
 
 
 def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
-    """Return a report's bytes."""
+    """Return the bytes of a heartbeat."""
     return zlib.compress(_heartbeat_json(heartbeat), ZLIB_LEVEL)
 
 
@@ -62,79 +62,80 @@
             flags,
             heartbeat.config_version,
             {str(life): _work_fields(work) for life, work in heartbeat.work_by_server.items()},
-            _spent_fields(heartbeat.retry_usage_by_service),
+            _retry_usage_fields(heartbeat.retry_usage_by_service),
             heartbeat.departed_servers,
-            [str(named.ref) for named in heartbeat.versions],
+            [str(version.ref) for version in heartbeat.versions],
             _claim_fields(heartbeat.claims),
             (
                 None
                 if heartbeat.residency is None
                 else [
-                    [held.life, [str(ref) for ref in held.adapters]] for held in heartbeat.residency
+                    [resident.life, [str(ref) for ref in resident.adapters]]
+                    for resident in heartbeat.residency
                 ]
             ),
-            [attrs.astuple(heard) for heard in heartbeat.acks],
+            [attrs.astuple(ack) for ack in heartbeat.acks],
             heartbeat.added_servers,
             heartbeat.record.cores,
-            [named.age_ms for named in heartbeat.versions],
+            [version.age_ms for version in heartbeat.versions],
             _overloaded_runners_fields(heartbeat.overloaded_runners),
             heartbeat.lag_ms,
             heartbeat.is_active,
             _retry_history_fields(heartbeat.retry_history),
-            [[ending.fingerprint, ending.life] for ending in heartbeat.crashes],
+            [[crash.fingerprint, crash.life] for crash in heartbeat.crashes],
             heartbeat.quarantined_fingerprints,
         ]
     )
 
 
 def encode_short_heartbeat(heartbeat: ShortHeartbeat) -> bytes:
-    """Return a sign of life's bytes; it is too short for packing to gain anything."""
+    """Return the bytes of a short heartbeat, uncompressed: it is too short to gain from it."""
     flags = (
         heartbeat.is_ready
         | heartbeat.is_leaving << 1
         | heartbeat.is_store_reachable << 2
         | heartbeat.is_active << 3
     )
-    card = (
+    record = (
         None
         if heartbeat.record is None
         else [*_record_fields(heartbeat.record), heartbeat.record.cores]
     )
-    heard = [attrs.astuple(heard) for heard in heartbeat.acks]
+    acks = [attrs.astuple(ack) for ack in heartbeat.acks]
     claims = _claim_fields(heartbeat.claims)
-    spent = _spent_fields(heartbeat.retry_usage_by_service)
-    named = [SHORT_HEARTBEAT_FORMAT, heartbeat.name, heartbeat.boot, heartbeat.sequence, flags]
+    usage = _retry_usage_fields(heartbeat.retry_usage_by_service)
+    head = [SHORT_HEARTBEAT_FORMAT, heartbeat.name, heartbeat.boot, heartbeat.sequence, flags]
     return orjson.dumps(
         [
-            *named,
+            *head,
             heartbeat.config_version,
             heartbeat.lag_ms,
             claims,
-            heard,
-            card,
-            spent,
+            acks,
+            record,
+            usage,
             heartbeat.quarantined_fingerprints,
         ]
     )
 
 
 def encode_work_delta(delta: WorkDelta) -> bytes:
-    """Return the bytes of a change of work."""
+    """Return the bytes of a work delta."""
     work = {str(life): _work_fields(work) for life, work in delta.work_by_server.items()}
     return orjson.dumps([WORK_DELTA_FORMAT, delta.name, delta.boot, delta.sequence, work])
 
 
 def decode(data: bytes) -> Heartbeat | ShortHeartbeat | WorkDelta | None:
-    """Return what another node tells, or ``None`` for bytes that can't be read."""
+    """Return the message of a peer, or ``None`` for bytes that can't be decoded."""
     if data[:1] != b"[":
         return _decode_heartbeat(data)
     try:
         fields = orjson.loads(data)
-        read = {
+        from_fields = {
             SHORT_HEARTBEAT_FORMAT: _short_heartbeat_from_fields,
             WORK_DELTA_FORMAT: _work_delta_from_fields,
         }.get(fields[0])
-        return None if read is None else read(fields)
+        return None if from_fields is None else from_fields(fields)
     except (ValueError, TypeError, KeyError, IndexError, AttributeError):
         return None
 
@@ -159,22 +160,22 @@
         claims=tuple(_claim_from_fields(entry) for entry in fields[7]),
         acks=_acks_from_fields(fields[8]),
         record=None if fields[9] is None else _record_from_fields(fields[9]),
-        retry_usage_by_service=_spent_from_fields(fields[10]),
+        retry_usage_by_service=_retry_usage_from_fields(fields[10]),
         quarantined_fingerprints=tuple(map(str, _optional_field(fields, 11) or ())),
     )
 
 
 def _record_from_fields(fields: list[Any]) -> NodeRecord:
-    *addresses, cores = fields
-    return NodeRecord(*map(str, addresses), cores=bounded_cores(cores))
+    *texts, cores = fields
+    return NodeRecord(*map(str, texts), cores=bounded_cores(cores))
 
 
 def _decode_heartbeat(data: bytes) -> Heartbeat | None:
     try:
-        unpacker = zlib.decompressobj()
-        fields = orjson.loads(unpacker.decompress(data, MAX_HEARTBEAT_BYTES))
-        # Cut within its checksum it could hold anything.
-        if not unpacker.eof:
+        decompressor = zlib.decompressobj()
+        fields = orjson.loads(decompressor.decompress(data, MAX_HEARTBEAT_BYTES))
+        # The checksum of a datagram that was cut off within it has not been verified.
+        if not decompressor.eof:
             return None
         return _heartbeat_from_fields(fields) if fields[0] == HEARTBEAT_FORMAT else None
     except (zlib.error, ValueError, TypeError, KeyError, IndexError, AttributeError):
@@ -193,7 +194,7 @@
         work_by_server={
             ServerLife(life): _work_from_fields(work) for life, work in fields[5].items()
         },
-        retry_usage_by_service=_spent_from_fields(fields[6]),
+        retry_usage_by_service=_retry_usage_from_fields(fields[6]),
         departed_servers=tuple(map(ServerLife, fields[7])),
         versions=_versions_from_fields(fields[8], _optional_field(fields, 14)),
         claims=tuple(_claim_from_fields(entry) for entry in fields[9]),
@@ -204,7 +205,7 @@
         added_servers=tuple(map(ServerLife, fields[12])),
         overloaded_runners=_overloaded_runners_from_fields(_optional_field(fields, 15)),
         lag_ms=max(0, int(_optional_field(fields, 16) or 0)),
-        # A node of an older version does not tell, and is told all as one that has requests.
+        # A node of an older version does not send this; it is treated like one with requests.
         is_active=_optional_field(fields, 17) is not False,
         retry_history=_retry_history_from_fields(_optional_field(fields, 18)),
         crashes=tuple(
@@ -217,33 +218,35 @@
     )
 
 
-def _spent_fields(retry_usage_by_service: dict[str, RetryUsage]) -> dict[str, list[int]]:
+def _retry_usage_fields(retry_usage_by_service: dict[str, RetryUsage]) -> dict[str, list[int]]:
     return {
-        service: [spent.first_attempts, spent.retries]
-        for service, spent in retry_usage_by_service.items()
+        service: [usage.first_attempts, usage.retries]
+        for service, usage in retry_usage_by_service.items()
     }
 
 
-def _spent_from_fields(fields: dict[str, Any]) -> dict[str, RetryUsage]:
-    return {service: RetryUsage(*spent) for service, spent in fields.items()}
+def _retry_usage_from_fields(fields: dict[str, Any]) -> dict[str, RetryUsage]:
+    return {service: RetryUsage(*usage) for service, usage in fields.items()}
 
 
 def _retry_history_fields(history: RetryHistory) -> list[Any]:
-    hears = sorted(history.fresh_peers)
-    return [history.counted_ms, hears, history.past_retries_by_service, history.ended_processes]
+    peers = sorted(history.fresh_peers)
+    return [history.counted_ms, peers, history.past_retries_by_service, history.ended_processes]
 
 
 def _retry_history_from_fields(fields: list[Any] | None) -> RetryHistory:
-    """Return what a node remembers; one of an older version remembers nothing for others."""
+    """Return the history that a node announces; an older version announces none."""
     if fields is None:
         return RetryHistory()
-    counts_ms, hears, past_by_service, ended = fields
+    counted_ms, peers, past_by_service, ended = fields
     past = {str(service): max(0, int(count)) for service, count in past_by_service.items()}
-    return RetryHistory(int(counts_ms), frozenset(map(str, hears)), past, max(0, int(ended)))
+    return RetryHistory(int(counted_ms), frozenset(map(str, peers)), past, max(0, int(ended)))
 
 
 def _claim_fields(claims: tuple[CellLeaseClaim, ...]) -> list[Any]:
-    return [[c.cell, c.holder, c.epoch, c.standbys, c.counter] for c in claims]
+    return [
+        [claim.cell, claim.holder, claim.epoch, claim.standbys, claim.counter] for claim in claims
+    ]
 
 
 def _acks_from_fields(entries: list[Any]) -> tuple[HeartbeatAck, ...]:
@@ -279,7 +282,7 @@
 
 
 def _work_from_fields(fields: list[Any]) -> ServerWork:
-    """Return work whose counts are whole: a running total is made of them."""
+    """Return work in progress; counts must be numbers, as running totals are computed from them."""
     ranks = fields[4] if len(fields) > 4 else ()
     return ServerWork(
         int(fields[0]),
@@ -291,10 +294,10 @@
 
 
 def _record_fields(record: NodeRecord) -> tuple[str, ...]:
-    """Return a card without what was added to it later.
+    """Return the fields that a node record has had from the first version on.
 
-    That stands at the end of a report, where a node of an older version does not look: it would
-    take a card with one field more for no report.
+    Later ones are at the end of a heartbeat, where a node of an older version ignores them. It
+    would reject a heartbeat whose record has an additional field.
     """
     return (
         record.name,
@@ -307,12 +310,12 @@
 
 
 def _optional_field(fields: list[Any], index: int) -> Any:
-    """Return a field that a node of an older version does not tell, or ``None``."""
+    """Return a field that a node of an older version does not send, or ``None``."""
     return fields[index] if len(fields) > index else None
 
 
 def _versions_from_fields(refs: list[Any], ages_ms: list[Any] | None) -> tuple[RecentVersion, ...]:
-    """Return versions; a node of an older version tells no ages, and means just now."""
+    """Return versions; a node of an older version sends no ages, and each age counts as zero."""
     ages = ages_ms if ages_ms is not None else [0] * len(refs)
     return tuple(
         RecentVersion(parse_adapter_ref(text), max(0, int(age_ms)))
@@ -333,11 +336,11 @@
 
 
 def parse_adapter_ref(text: str) -> AdapterRef:
-    """Return the reference that ``MODEL/NAME@VERSION`` names.
+    """Return the adapter version that a text of the form ``MODEL/NAME@VERSION`` refers to.
 
     :raises ValueError: when malformed.
     """
-    name, mark, version = text.rpartition("@")
-    if not mark:
+    name, separator, version = text.rpartition("@")
+    if not separator:
         raise ValueError(text)
     return AdapterRef(name, int(version))
--- a/monsoonflow/fleet/ended_processes.py
+++ b/monsoonflow/fleet/ended_processes.py
@@ -1,4 +1,4 @@
-"""Remembers what processes had spent when they ended."""
+"""Remembers the retries that processes had counted when they ended."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 @attrs.define(slots=True)
 class EndedProcesses:
-    """The last reports of processes that have ended.
+    """The last heartbeats of processes that have ended.
 
-    Their requests and retries have reached servers: a new process of the same node counts from
-    zero, and taken for all that the node has spent, that would free the whole budget once more.
+    Their requests and retries have reached servers, so they still count against the retry budget.
+    The new process of the same node counts from zero; with its count alone, the whole budget would
+    be available a second time.
     """
 
     _processes: list[_EndedProcess] = attrs.Factory(list)
 
     def add(self, last_heartbeat: Heartbeat, now_ms: int) -> None:
-        """Take the last report of a process that was followed by another one."""
+        """Record the last heartbeat of a process that another process of its node has replaced."""
         self._processes.append(_EndedProcess(now_ms, last_heartbeat))
 
     def last_heartbeats(self, window_ms: int, now_ms: int) -> list[Heartbeat]:
-        """Return the reports of those that ended within a window."""
+        """Return the last heartbeats of the processes that ended within a window."""
         self._processes = [
             ended for ended in self._processes if ended.ended_ms > now_ms - window_ms
         ]
--- a/monsoonflow/fleet/gossip.py
+++ b/monsoonflow/fleet/gossip.py
@@ -1,7 +1,7 @@
-"""Sends this node's report or a sign of life to the others and takes theirs, in single datagrams.
+"""Exchanges heartbeats between nodes, in single datagrams.
 
-A datagram has no connection that could go silent, needs no answer, and a lost one is replaced by
-the next: for reports of which only the newest counts, that is all that is needed.
+Only the newest heartbeat of a node matters, so datagrams are sufficient: they need no connection
+that could become unresponsive and no answer, and the next one replaces one that was lost.
 """
 
 from __future__ import annotations
@@ -25,35 +25,38 @@
 
 _LOGGER = logging.getLogger(__name__)
 BATCH_DELAY_MS: Final = 15
-"""How long news for a holder waits for more of it."""
+"""How long a message with changes is delayed, so that further changes are sent with it."""
 
 ROUNDS_PER_RESIDENCY: Final = 5
-"""In a large fleet a holder tells what its runners hold in each of so many rounds only, once a
-second: for 45 runners that is most of its report. Who does not know asks the holder."""
+"""In a large fleet a lease holder includes the residency of its runners in one of this many rounds,
+once a second: for 45 runners it is most of the heartbeat. A node that does not know it asks the
+holder."""
 
 STARTUP_FULL_RATE_MS: Final = 6_000
-"""So long after its start a node without callers speaks as often as one with callers: nobody knows
-yet who there is, and duties are claimed by who is heard."""
+"""For this long after its start, a node without callers sends as often as one with callers: its
+peers do not know it yet, and who may claim a cell lease depends on whose heartbeats arrive."""
 
 STARTUP_RECORD_MS: Final = 60_000
-"""So long after its start a node's signs of life tell how it is reached: nobody knows it yet."""
+"""For this long after its start, a node's short heartbeats include its record, since peers do not
+know it yet."""
 
 REQUEST_INTERVAL_MS: Final = 1_000
-"""How often a node that is known by signs of life only is asked for its report, and how often one
-that asks is answered."""
+"""How often a full heartbeat is requested from one address, and how often one is sent to an address
+that requests it."""
 
 MAX_RATE_LIMITED_ADDRESSES: Final = 64
-"""Addresses that are asked, or answered, in that time."""
+"""How many addresses are sent requests, or answers, within that interval."""
 
 MAX_DATAGRAM_BYTES: Final = 60_000
 
 
 class Gossip:
-    """Exchanges reports with the other nodes.
+    """Exchanges heartbeats with the peers.
 
-    :param report: returns this node's report as of now.
-    :param on_report: takes each report that is news.
-    :param change: returns what has changed of this node's work since it was last asked.
+    :param address: where this node receives datagrams.
+    :param heartbeat: returns this node's current heartbeat.
+    :param on_heartbeat: called with each received heartbeat that is newer than the last one.
+    :param work_delta: returns the changes of this node's work since its last call.
     """
 
     def __init__(
@@ -87,43 +90,46 @@
         self._answered_ms_by_address: dict[str, int] = {}
 
     def start(self) -> None:
-        """Begin to send and to receive."""
+        """Start to send and to receive."""
         self._socket.bind(split_address(self._address))
         self._tasks.spawn(self._receive_loop)
         self._tasks.spawn(self._send_loop)
 
     def close(self) -> None:
-        """Send and receive no more."""
+        """Stop sending and receiving."""
         self._closed = True
         self._socket.close()
 
     def send_round(self) -> None:
-        """Tell the others at once, as many as in any round."""
-        report = self._heartbeat()
-        others = self._peer_addresses()
+        """Send a heartbeat now to the peers of the next round."""
+        heartbeat = self._heartbeat()
+        addresses = self._peer_addresses()
         view = self._view
-        eager = self._clock.now_ms() - self._started_ms < STARTUP_FULL_RATE_MS
-        told = self._rounds.next_peers(
-            others,
+        is_starting = self._clock.now_ms() - self._started_ms < STARTUP_FULL_RATE_MS
+        recipients = self._rounds.next_peers(
+            addresses,
             view.holder_and_standby_names(),
             view.holds_cell_lease(),
-            self._active_peer_names(others) if report.is_active else (),
-            not report.is_active and not eager,
+            self._active_peer_names(addresses) if heartbeat.is_active else (),
+            not heartbeat.is_active and not is_starting,
         )
-        # Servers that come and leave must be known to everybody: a node without callers that had
-        # missed one answered its first with "no server takes work".
-        news = report.departed_servers or report.added_servers
-        whole = told if news else view.full_heartbeat_recipients(told)
-        self._send_heartbeat(report, [others[name] for name in whole])
-        signs = set(told).difference(whole)
-        if signs:
-            self._send_short_heartbeat(report, [others[name] for name in told if name in signs])
+        # Every node must know of added and departed servers. A node without callers that had
+        # missed an added one would answer its first caller with "no server takes work".
+        has_server_changes = heartbeat.departed_servers or heartbeat.added_servers
+        full = recipients if has_server_changes else view.full_heartbeat_recipients(recipients)
+        self._send_heartbeat(heartbeat, [addresses[name] for name in full])
+        short = set(recipients).difference(full)
+        if short:
+            self._send_short_heartbeat(
+                heartbeat, [addresses[name] for name in recipients if name in short]
+            )
 
     def schedule_broadcast(self) -> None:
-        """Tell all others within a moment what none of them may learn too late.
+        """Schedule a heartbeat to all peers, for changes that each must learn of without delay.
 
-        What comes meanwhile goes with it: 22 servers that crash are read in one answer, and a
-        report to 88 nodes for each would take a slow link of 10 Mbit/s for two seconds.
+        Changes during the short delay are sent with it. 22 servers that crash are read in one
+        answer of the store; a heartbeat to 88 nodes for each of them would occupy a link of
+        10 Mbit/s for two seconds.
         """
         if not self._is_broadcast_scheduled:
             self._is_broadcast_scheduled = True
@@ -135,13 +141,14 @@
         self._send_heartbeat(self._heartbeat(), list(self._peer_addresses().values()))
 
     def _active_peer_names(self, addresses: dict[str, str]) -> list[str]:
-        """Return the others that choose by this node's work."""
+        """Return the peers that choose servers by this node's work."""
         return [name for name in self._view.active_peer_names() if name in addresses]
 
     def _send_short_heartbeat(self, heartbeat: Heartbeat, addresses: list[str]) -> None:
-        young = self._clock.now_ms() - self._started_ms < STARTUP_RECORD_MS
+        with_record = self._clock.now_ms() - self._started_ms < STARTUP_RECORD_MS
         self._send_data(
-            codec.encode_short_heartbeat(ShortHeartbeat.from_heartbeat(heartbeat, young)), addresses
+            codec.encode_short_heartbeat(ShortHeartbeat.from_heartbeat(heartbeat, with_record)),
+            addresses,
         )
 
     def _send_heartbeat(self, heartbeat: Heartbeat, addresses: list[str]) -> None:
@@ -166,9 +173,9 @@
                 log(_LOGGER, events.ReportUnsent(to=address, cause=error))
 
     def schedule_work_delta(self, names: list[str]) -> None:
-        """Tell some nodes within a moment what changes of this node's work.
+        """Schedule a work delta to some peers, after a short delay that collects more changes.
 
-        What comes meanwhile goes with it. A whole report each time was most of what a holder reads.
+        A full heartbeat for each change would be most of what a lease holder receives.
         """
         self._pending_delta_names.update(names)
         if not self._is_delta_scheduled:
@@ -179,16 +186,16 @@
         self._tasks.sleep(BATCH_DELAY_MS)
         self._is_delta_scheduled = False
         names, self._pending_delta_names = self._pending_delta_names, set()
-        cards = [self._view.record_by_name.get(name) for name in names]
-        addresses = [card.report_address for card in cards if card is not None]
+        records = [self._view.record_by_name.get(name) for name in names]
+        addresses = [record.report_address for record in records if record is not None]
         self._send_data(codec.encode_work_delta(self._work_delta()), addresses)
 
     def _peer_addresses(self) -> dict[str, str]:
-        """Return where the other nodes take reports, by name."""
+        """Return where the peers receive heartbeats, by name."""
         return {
-            name: card.report_address
-            for name, card in self._view.record_by_name.items()
-            if card.report_address != self._address
+            name: record.report_address
+            for name, record in self._view.record_by_name.items()
+            if record.report_address != self._address
         }
 
     def _send_loop(self) -> None:
@@ -197,7 +204,7 @@
             self._tasks.sleep(HEARTBEAT_INTERVAL_MS)
 
     def _receive_loop(self) -> None:
-        # A closed socket fails at once each time: the loop would never give way again.
+        # Reading a closed socket fails immediately: the loop would never yield to other tasks.
         while not self._closed:
             try:
                 data, (host, port) = self._socket.recvfrom(MAX_DATAGRAM_BYTES)
@@ -225,9 +232,9 @@
             case ShortHeartbeat():
                 if self._view.needs_full_heartbeat(message):
                     self._request_heartbeat(f"{host}:{port}", now_ms)
-                report = self._view.receive_short(message, now_ms)
-                if report is not None:
-                    self._on_heartbeat(report)
+                heartbeat = self._view.receive_short(message, now_ms)
+                if heartbeat is not None:
+                    self._on_heartbeat(heartbeat)
             case WorkDelta():
                 self._view.receive_work_delta(message, now_ms)
             case Heartbeat():
@@ -235,22 +242,22 @@
                     self._on_heartbeat(message)
 
     def _request_heartbeat(self, address: str, now_ms: int) -> None:
-        """Ask a node of which only a sign of life is known for its whole report."""
+        """Request a full heartbeat from a node of which only a short one was received."""
         if _passes_rate_limit(self._requested_ms_by_address, address, now_ms):
             self._send_data(codec.HEARTBEAT_REQUEST, [address])
 
     def _answer_request(self, address: str) -> None:
-        """Tell all to a node that asks, if it is one of the fleet or may be about to be."""
+        """Send a full heartbeat to a node that requests one; it may have joined only now."""
         if _passes_rate_limit(self._answered_ms_by_address, address, self._clock.now_ms()):
             self._send_heartbeat(self._heartbeat(), [address])
 
 
-def _passes_rate_limit(at_ms_by_address: dict[str, int], address: str, now_ms: int) -> bool:
-    """Tell whether an address may be sent to again, and note that it is."""
-    for known, at_ms in list(at_ms_by_address.items()):
-        if now_ms - at_ms >= REQUEST_INTERVAL_MS:
-            del at_ms_by_address[known]
-    if address in at_ms_by_address or len(at_ms_by_address) >= MAX_RATE_LIMITED_ADDRESSES:
+def _passes_rate_limit(sent_ms_by_address: dict[str, int], address: str, now_ms: int) -> bool:
+    """Return whether a message may be sent to an address now, and if so record that it is."""
+    for known, sent_ms in list(sent_ms_by_address.items()):
+        if now_ms - sent_ms >= REQUEST_INTERVAL_MS:
+            del sent_ms_by_address[known]
+    if address in sent_ms_by_address or len(sent_ms_by_address) >= MAX_RATE_LIMITED_ADDRESSES:
         return False
-    at_ms_by_address[address] = now_ms
+    sent_ms_by_address[address] = now_ms
     return True
--- a/monsoonflow/fleet/models.py
+++ b/monsoonflow/fleet/models.py
@@ -1,4 +1,4 @@
-"""What entry nodes tell each other."""
+"""The messages that entry nodes exchange, and what they contain."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from ..routing.overload import OverloadedRunners
 
 DEFAULT_CORES: Final = 1.0
-"""Taken for a machine that tells nothing, or nothing that could be meant."""
+"""Assumed for a node that reports no value, or none that is possible."""
 
 MIN_CORES: Final = 1 / 64
 MAX_CORES: Final = 1_024.0
-"""Bounds of what is believed: beyond any machine that runs an entry node."""
+"""Bounds for reported values; no machine that runs an entry node lies outside them."""
 
 
 def bounded_cores(value: object) -> float:
-    """Return a machine's processor as somebody told it, within bounds.
+    """Return a reported number of processor cores, limited to the allowed range.
 
-    A wrong word only moves the node's place among the candidates for a duty: the rest of what was
-    told with it is good all the same.
+    A wrong value only changes the node's rank among the candidates for a cell lease. It is
+    therefore corrected, and the message that contains it stays valid.
 
     >>> [bounded_cores(value) for value in (2.15, None, "4", -1, 10**400)]
     [2.15, 1.0, 1.0, 1.0, 1024.0]
@@ -40,9 +40,11 @@
 class NodeRecord:
     """How to reach an entry node; kept in the store.
 
-    :param boot: names one life of the node's process.
-    :param peer_address: for calls; ``report_address`` for datagrams.
-    :param cores: how much processor time the node has, in seconds of one usual core a second: its
+    :param boot: identifies one run of the node's process.
+    :param callers_address: where callers send requests.
+    :param peer_address: where peers make calls.
+    :param report_address: where peers send heartbeats, as datagrams.
+    :param cores: the node's processor capacity, in seconds of one reference core per second: its
         share of a core times that core's speed.
     """
 
@@ -57,11 +59,11 @@
 
 @attrs.frozen(slots=True)
 class CellLeaseClaim:
-    """Who gives orders to the runners of a cell, as a node knows it.
+    """Who holds the lease of a cell, and so sends orders to its runners, as far as a node knows.
 
-    :param epoch: rises with each holder; the fencing number of its orders.
-    :param heirs: who may go on in its place without the store, in this order.
-    :param counter: of the holder's last renewal.
+    :param epoch: the fencing token of the holder's orders; it rises with each new holder.
+    :param standbys: the nodes that may take over while the store is unreachable, in this order.
+    :param counter: the number of the holder's last renewal.
     """
 
     cell: str
@@ -73,7 +75,7 @@
 
 @attrs.frozen(slots=True)
 class HeartbeatAck:
-    """The newest report that a node has heard of a holder of a duty."""
+    """Names the newest heartbeat that a node has received from a lease holder."""
 
     name: str
     boot: str
@@ -82,7 +84,7 @@
 
 @attrs.frozen(slots=True)
 class ResidentAdapters:
-    """The adapters that a runner can serve now, as the holder of its cell knows it."""
+    """The adapters that a runner can serve now, as far as the lease holder of its cell knows."""
 
     life: ServerLife
     adapters: tuple[AdapterRef, ...]
@@ -90,9 +92,10 @@
 
 @attrs.frozen(slots=True)
 class RecentVersion:
-    """A version of an adapter that was named lately.
+    """An adapter version that was published recently.
 
-    :param age_ms: how long before the report it was named, at least as far as its node knows.
+    :param age_ms: the time from its publication to the heartbeat; a lower bound, since the node
+        may have learned of the version late.
     """
 
     ref: AdapterRef
@@ -101,12 +104,12 @@
 
 @attrs.frozen(slots=True)
 class RetryHistory:
-    """What a node remembers of retries besides its own count.
+    """What a node knows of retries beyond its own count.
 
-    :param counts_ms: for how long its process has counted, at most the budget's window.
-    :param hears: the nodes with callers whose word it takes for fresh.
-    :param past_by_service: retries of processes that ended within the window.
-    :param ended: how many such processes there were.
+    :param counted_ms: for how long its process has counted retries, at most the budget's window.
+    :param fresh_peers: the peers with callers whose last heartbeat it considers fresh.
+    :param past_retries_by_service: retries of processes that ended within the window.
+    :param ended_processes: the number of those processes.
     """
 
     counted_ms: int = 0
@@ -117,25 +120,29 @@
 
 @attrs.frozen(slots=True)
 class Heartbeat:
-    """One node's word about itself; a newer one replaces it whole.
-
-    :param card: how to reach it: who hears a node need not have read its card in the store.
-    :param sequence: rises with each report of one boot.
-    :param store_heard: whether the node reaches the store.
-    :param left_servers: servers that the node lately learnt are leaving.
-    :param versions: adapter versions that the node lately learnt.
-    :param residency: set by the holder of a cell; ``None`` where it is as told before.
-    :param heard: the newest reports of holders that this node has heard: for a while after each it
-        does not claim their duties.
-    :param came_servers: servers that the node lately learnt of.
-    :param crowded: set by the holder of a cell: its runners with long queues, newer than what other
-        nodes hear of each other; ``None`` at others.
-    :param lag_ms: how late the node usually runs what is due.
-    :param active: whether the node has requests or a part in duties, so that others need its word
-        fresh; of one that has not they need little more than that it lives.
-    :param retries: what the node remembers of retries.
-    :param endings: servers that the node has lately seen end, with the requests that they had.
-    :param quarantined: requests that must reach no server.
+    """The full state that a node announces to its peers; a newer heartbeat replaces it completely.
+
+    :param record: how to reach the node; a peer that receives the heartbeat need not have read the
+        node's record in the store.
+    :param sequence: rises with each message of one boot.
+    :param is_store_reachable: whether the node reaches the store.
+    :param retry_usage_by_service: the requests and retries that the node has counted.
+    :param departed_servers: servers that, as the node learned recently, are leaving.
+    :param versions: adapter versions that the node learned of recently.
+    :param claims: the cell leases that the node holds.
+    :param residency: set by the lease holder of a cell; ``None`` means unchanged since its last
+        announcement.
+    :param acks: the newest heartbeats of lease holders that the node has received. For a while
+        after each, the node does not claim the lease.
+    :param added_servers: servers that the node learned of recently.
+    :param overloaded_runners: set by the lease holder of a cell: its runners with long queues. More
+        recent than what the other nodes know of each other's work; ``None`` from other nodes.
+    :param lag_ms: the typical delay with which the node runs tasks that are due.
+    :param is_active: whether the node has requests, holds a cell lease or is a standby. Peers need
+        fresh heartbeats of such a node; of any other they need little more than that it is alive.
+    :param retry_history: what the node knows of retries beyond its own count.
+    :param crashes: servers that, as the node saw recently, crashed, with the requests they had.
+    :param quarantined_fingerprints: the fingerprints of requests that must reach no server.
     """
 
     record: NodeRecord
@@ -166,15 +173,16 @@
 
     @property
     def boot(self) -> str:
-        """Return the name of this life of the node's process."""
+        """Return the identifier of this run of the node's process."""
         return self.record.boot
 
 
 @attrs.frozen(slots=True)
 class WorkDelta:
-    """What has changed of a node's work in progress, for the holders of duties.
+    """The changes of a node's work in progress, for the holders of cell leases.
 
-    :param work_by_server: at the servers where it has changed, whole; empty where none is left.
+    :param work_by_server: the new total at each server where it has changed; an empty total where
+        no work is left.
     """
 
     name: str
@@ -185,10 +193,12 @@
 
 @attrs.frozen(slots=True)
 class ShortHeartbeat:
-    """The part of a node's report for those that need no more than to know that it lives.
+    """The part of a heartbeat for peers that only need to know that the node is alive.
 
-    :param retry_usage_by_service: where it has retries: requests alone change little in the budget.
-    :param card: told while the node is young; later it is known, or asked for.
+    :param retry_usage_by_service: only of services with retries, since requests without retries
+        hardly change the budget.
+    :param record: included for a while after the node's start. Later peers know it, or request a
+        full heartbeat.
     """
 
     name: str
@@ -208,7 +218,7 @@
 
     @classmethod
     def from_heartbeat(cls, heartbeat: Heartbeat, with_record: bool) -> ShortHeartbeat:
-        """Return the sign that goes with a report."""
+        """Return the short form of a heartbeat."""
         return cls(
             heartbeat.name,
             heartbeat.boot,
@@ -231,14 +241,14 @@
         )
 
     def to_heartbeat(self, previous: Heartbeat | None, record: NodeRecord) -> Heartbeat:
-        """Return the node's report as far as it can be told now.
+        """Return the node's state as far as it is known now, as a full heartbeat.
 
-        What an active node has in progress stays as it was told last; one that is not active has
-        nothing.
+        The work in progress of an active node is kept from its previous heartbeat; a node that is
+        not active has none.
 
-        :param known: its last report of the same boot.
+        :param previous: the node's last heartbeat of the same boot.
         """
-        keeps = previous is not None and self.is_active
+        keeps_previous = previous is not None and self.is_active
         return Heartbeat(
             record=record,
             sequence=self.sequence,
@@ -246,16 +256,16 @@
             is_leaving=self.is_leaving,
             config_version=self.config_version,
             is_store_reachable=self.is_store_reachable,
-            work_by_server=previous.work_by_server if keeps else {},
+            work_by_server=previous.work_by_server if keeps_previous else {},
             retry_usage_by_service=(
-                previous.retry_usage_by_service if keeps else self.retry_usage_by_service
+                previous.retry_usage_by_service if keeps_previous else self.retry_usage_by_service
             ),
             claims=self.claims,
             residency=None,
             acks=self.acks,
-            overloaded_runners=previous.overloaded_runners if keeps else None,
+            overloaded_runners=previous.overloaded_runners if keeps_previous else None,
             lag_ms=self.lag_ms,
             is_active=self.is_active,
-            retry_history=previous.retry_history if keeps else RetryHistory(),
+            retry_history=previous.retry_history if keeps_previous else RetryHistory(),
             quarantined_fingerprints=self.quarantined_fingerprints,
         )
--- a/monsoonflow/fleet/work_totals.py
+++ b/monsoonflow/fleet/work_totals.py
@@ -1,7 +1,7 @@
-"""Keeps the sum of what other nodes have in progress at each server.
+"""Keeps the total of the peers' work in progress at each server.
 
-The load that it is made for: a holder of a duty before 89 nodes needs the sum for each of some
-hundred questions a second, and for each plan.
+Designed for a lease holder with 89 peers, which needs the totals for each of a few hundred slot
+requests per second, and for each plan.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 @attrs.frozen(slots=True)
 class _NodeWork:
-    """What one node told last, and when."""
+    """The last announced work of one node, and when it was received."""
 
     received_ms: int
     work_by_server: Mapping[ServerLife, ServerWork]
 
 
 class WorkTotals:
-    """A running total: a report's predecessor is taken off, and the report is added.
+    """Running totals: a node's previous work is subtracted when its new work is added.
 
-    Added up anew for each question, the reports of 89 nodes took a seventh of a core at 280
-    questions a second.
+    Summing the work of 89 nodes from scratch for each request would take a seventh of a core at 280
+    requests per second.
 
-    >>> total = WorkTotals()
-    >>> total.replace("a", {ServerLife("i-1"): ServerWork(2, 90)}, received_ms=0)
-    >>> total.replace("b", {ServerLife("i-1"): ServerWork(1, 10)}, received_ms=5)
-    >>> total.replace("b", {ServerLife("i-1"): ServerWork(3, 20)}, received_ms=9)
-    >>> total.by_server["i-1"].requests, total.by_server["i-1"].pending_prefill_tokens
+    >>> totals = WorkTotals()
+    >>> totals.replace("a", {ServerLife("i-1"): ServerWork(2, 90)}, received_ms=0)
+    >>> totals.replace("b", {ServerLife("i-1"): ServerWork(1, 10)}, received_ms=5)
+    >>> totals.replace("b", {ServerLife("i-1"): ServerWork(3, 20)}, received_ms=9)
+    >>> totals.by_server["i-1"].requests, totals.by_server["i-1"].pending_prefill_tokens
     (5, 110)
-    >>> total.drop_before(6)
-    >>> total.by_server["i-1"].requests
+    >>> totals.drop_before(6)
+    >>> totals.by_server["i-1"].requests
     3
     """
 
@@ -47,10 +47,10 @@
     def replace(
         self, node: str, work_by_server: Mapping[ServerLife, ServerWork], received_ms: int
     ) -> None:
-        """Take what a node has in progress now, in place of what it told before.
+        """Replace a node's work in progress.
 
-        :param work_by_server: isn't changed afterwards: it is what will be taken off.
-        :param at_ms: when it was heard; not before any time given earlier.
+        :param work_by_server: must not be modified afterwards, since it is subtracted later.
+        :param received_ms: when it was received; not earlier than in any previous call.
         """
         self.drop(node)
         self._work_by_node[node] = _NodeWork(received_ms, work_by_server)
@@ -63,20 +63,22 @@
     def apply_delta(
         self, node: str, work_by_server: Mapping[ServerLife, ServerWork], received_ms: int
     ) -> Mapping[ServerLife, ServerWork]:
-        """Take what has changed of a node's work; return all of it.
+        """Apply the changes of a node's work in progress.
 
-        :param work_by_server: at the servers where it has changed, whole.
+        :param work_by_server: the new work at each server where it has changed.
+        :param received_ms: as for ``replace``.
+        :returns: all work of the node.
 
-        >>> total = WorkTotals()
-        >>> total.replace("a", {"i-1": ServerWork(2), "i-2": ServerWork(1)}, received_ms=0)
+        >>> totals = WorkTotals()
+        >>> totals.replace("a", {"i-1": ServerWork(2), "i-2": ServerWork(1)}, received_ms=0)
         >>> delta = {"i-1": ServerWork(5), "i-2": ServerWork()}
-        >>> sorted(total.apply_delta("a", delta, received_ms=3))
+        >>> sorted(totals.apply_delta("a", delta, received_ms=3))
         ['i-1']
-        >>> total.by_server["i-1"].requests, "i-2" in total.by_server
+        >>> totals.by_server["i-1"].requests, "i-2" in totals.by_server
         (5, False)
         """
-        share = self._work_by_node.pop(node, None)
-        whole = dict(share.work_by_server) if share is not None else {}
+        known = self._work_by_node.pop(node, None)
+        whole = dict(known.work_by_server) if known is not None else {}
         for life, work in work_by_server.items():
             self._replace_at_server(life, whole.pop(life, None), work)
             if not work.is_empty():
@@ -95,23 +97,23 @@
             del self.by_server[life]
 
     def drop(self, node: str) -> None:
-        """Count a node no longer."""
-        share = self._work_by_node.pop(node, None)
-        if share is None:
+        """Remove a node's work from the totals."""
+        known = self._work_by_node.pop(node, None)
+        if known is None:
             return
-        for life, work in share.work_by_server.items():
+        for life, work in known.work_by_server.items():
             total = self.by_server.get(life)
             if total is None:
-                # A share without any work: nothing was left to keep a total for.
+                # The node announced the server without any work there, so no total is kept.
                 continue
             total.subtract(work)
             if total.is_empty():
                 del self.by_server[life]
 
     def drop_before(self, at_ms: int) -> None:
-        """Count no longer who was last heard before a time."""
+        """Remove the work of nodes from which it was last received before a time."""
         while self._work_by_node:
-            node, share = next(iter(self._work_by_node.items()))
-            if share.received_ms >= at_ms:
+            node, known = next(iter(self._work_by_node.items()))
+            if known.received_ms >= at_ms:
                 return
             self.drop(node)
