--- a/tests/fleet/test_large_fleet.py
+++ b/tests/fleet/test_large_fleet.py
@@ -1,4 +1,7 @@
-"""Nodes of a large fleet, which do not all tell each other each time: who holds a duty stays so."""
+"""Tests of a large fleet, where nodes do not send to all peers in each round.
+
+The cell lease must stay with its holder although most peers are heard from less often.
+"""
 
 from __future__ import annotations
 
@@ -19,25 +22,25 @@
 
 @attrs.define
 class Node:
-    """One node with what it knows of the others."""
+    """One node with what it knows of its peers."""
 
-    card: NodeRecord
+    record: NodeRecord
     view: FleetView
     loop: CellLeaseLoop
     rounds: HeartbeatRounds
     sequence: int = 0
-    up: bool = True
+    is_up: bool = True
 
-    def report(self) -> Heartbeat:
-        """Return its word about itself."""
+    def next_heartbeat(self) -> Heartbeat:
+        """Return its next heartbeat."""
         self.sequence += 1
         claim = self.loop.current_claim()
         claims = (claim,) if claim is not None else ()
-        return Heartbeat(self.card, self.sequence, True, False, 1, True, claims=claims)
+        return Heartbeat(self.record, self.sequence, True, False, 1, True, claims=claims)
 
 
 class Fleet:
-    """Nodes that tell each other in rounds."""
+    """Nodes that exchange heartbeats in rounds."""
 
     def __init__(self) -> None:
         self.clock = ManualClock(100_000)
@@ -45,7 +48,7 @@
         self.nodes = {f"n{i}": self._node(f"n{i}") for i in range(NODES)}
         for node in self.nodes.values():
             for other in self.nodes.values():
-                node.view.add_record(other.card)
+                node.view.add_record(other.record)
 
     def _node(self, name: str) -> Node:
         view = FleetView(name)
@@ -67,53 +70,57 @@
         )
 
     def run(self, for_ms: int) -> None:
-        """Let time pass."""
+        """Advance the time."""
         until_ms = self.clock.now_ms() + for_ms
         while self.clock.now_ms() < until_ms:
             self.clock.advance(STEP_MS)
             now_ms = self.clock.now_ms()
-            up = [node for node in self.nodes.values() if node.up]
-            for node in up:
+            running = [node for node in self.nodes.values() if node.is_up]
+            for node in running:
                 if now_ms % HEARTBEAT_INTERVAL_MS == 0:
-                    self._tell(node, now_ms)
+                    self._send_heartbeat(node, now_ms)
                 if self.table.row is not None and now_ms % 1_000 == 0:
                     node.loop.handle_row(self.table.row)
                 node.loop.step()
 
-    def _tell(self, node: Node, now_ms: int) -> None:
-        others = [name for name in self.nodes if name != node.card.name]
-        report = node.report()
+    def _send_heartbeat(self, node: Node, now_ms: int) -> None:
+        peers = [name for name in self.nodes if name != node.record.name]
+        heartbeat = node.next_heartbeat()
         for name in node.rounds.next_peers(
-            others, node.view.holder_and_standby_names(), node.view.holds_cell_lease()
+            peers, node.view.holder_and_standby_names(), node.view.holds_cell_lease()
         ):
-            if self.nodes[name].up:
-                self.nodes[name].view.receive(report, now_ms)
+            if self.nodes[name].is_up:
+                self.nodes[name].view.receive(heartbeat, now_ms)
 
     def holders(self) -> list[str]:
-        """Return the nodes that may order."""
+        """Return the nodes that may send orders."""
         now_ms = self.clock.now_ms()
-        return [n.card.name for n in self.nodes.values() if n.up and n.loop.holds(now_ms)]
+        return [
+            node.record.name
+            for node in self.nodes.values()
+            if node.is_up and node.loop.holds(now_ms)
+        ]
 
 
 @pytest.fixture
 def fleet() -> Fleet:
-    """Return a fleet in which a duty has been won."""
+    """Return a fleet in which a node has won the cell lease."""
     fleet = Fleet()
     fleet.run(6_000)
     return fleet
 
 
-def test_a_duty_stays_with_its_holder(fleet: Fleet):
-    """On 89 machines each node heard another every 1.5 s and took it for down after 1.2 s.
+def test_cell_lease_stays_with_its_holder(fleet: Fleet):
+    """Among 89 nodes each received a peer's heartbeat every 1.5 s, with a timeout of 1.2 s.
 
-    The duty of loading adapters changed hands ten times a second, no order was ever carried out,
-    and every request that needed an adapter was refused.
+    The cell lease changed its holder ten times a second, no order was carried out, and every
+    request that needed an adapter was refused.
     """
-    first = fleet.holders()
+    first_holders = fleet.holders()
     epoch = fleet.table.row.value["epoch"]
     fleet.run(20_000)
-    assert len(first) == 1
-    assert fleet.holders() == first
+    assert len(first_holders) == 1
+    assert fleet.holders() == first_holders
     assert fleet.table.row.value["epoch"] == epoch
 
 
@@ -122,13 +129,13 @@
         fleet.run(100)
         now_ms = fleet.clock.now_ms()
         for node in fleet.nodes.values():
-            others = [name for name in fleet.nodes if name != node.card.name]
-            assert all(node.view.is_alive(name, now_ms) for name in others)
+            peers = [name for name in fleet.nodes if name != node.record.name]
+            assert all(node.view.is_alive(name, now_ms) for name in peers)
 
 
-def test_a_holder_that_dies_is_replaced_as_soon_as_in_a_small_fleet(fleet: Fleet):
+def test_failed_holder_is_replaced_as_soon_as_in_a_small_fleet(fleet: Fleet):
     (holder,) = fleet.holders()
-    fleet.nodes[holder].up = False
+    fleet.nodes[holder].is_up = False
     fleet.run(3_000)
     (successor,) = fleet.holders()
     assert successor != holder
@@ -136,19 +143,19 @@
     assert fleet.holders() == [successor]
 
 
-def test_a_node_tells_a_bounded_number_in_each_round():
+def test_node_sends_to_a_bounded_number_of_peers_in_each_round():
     names = [f"n{i}" for i in range(1_099)]
     plain, holder = HeartbeatRounds("n"), HeartbeatRounds("n")
     assert max(len(plain.next_peers(names, names[:4], False)) for _ in range(100)) <= 16
     assert max(len(holder.next_peers(names, (), True)) for _ in range(20)) <= 100
 
 
-def test_what_runners_hold_is_known_until_it_is_told_again():
-    """A holder of many runners tells what they hold once a second, its work each 200 ms."""
+def test_residency_is_kept_until_it_is_announced_again():
+    """A holder of many runners announces their residency once a second, its work every 200 ms."""
     view = FleetView("a")
-    card = NodeRecord("b", "b-1", "dc", "b", "b", "b")
-    held = (ResidentAdapters(ServerLife("i-1"), ()),)
-    view.receive(Heartbeat(card, 1, True, False, 1, True, residency=held), 0)
-    view.receive(Heartbeat(card, 2, True, False, 1, True, residency=None), 200)
+    record = NodeRecord("b", "b-1", "dc", "b", "b", "b")
+    residency = (ResidentAdapters(ServerLife("i-1"), ()),)
+    view.receive(Heartbeat(record, 1, True, False, 1, True, residency=residency), 0)
+    view.receive(Heartbeat(record, 2, True, False, 1, True, residency=None), 200)
     view.apply_claim(CellLeaseClaim("llm", "b", 1))
-    assert view.residency("llm", 300) == held
+    assert view.residency("llm", 300) == residency
