--- a/monsoonflow/ownership/__init__.py
+++ b/monsoonflow/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""Decides which node owns which runner, by lease and fencing number."""
+"""Decides by leases and fencing numbers which node may send orders to which runners."""
--- a/monsoonflow/ownership/cell_lease.py
+++ b/monsoonflow/ownership/cell_lease.py
@@ -1,4 +1,4 @@
-"""The right of one node to give orders to the runners of a cell."""
+"""The cell lease: the exclusive right of one node to send orders to the runners of a cell."""
 
 from __future__ import annotations
 
@@ -12,35 +12,38 @@
 from .models import LeaseTiming
 
 MAX_STANDBYS: Final = 3
-"""Nodes that may inherit one after the other; enough for a holder and two heirs to be lost while
-the store is."""
+"""The number of standbys that may take over one after the other. Three are enough even if the
+holder and two standbys fail while the store is unreachable."""
 
 MAX_CANDIDATES: Final = 7
-"""Nodes whose promise a holder before unfenced runners needs to go on without the store: all others
-of a small fleet. Each must be heard, so more of them would end its right sooner."""
+"""The number of nodes whose promise a holder needs to continue without the store where runners do
+not check fencing numbers; in a small fleet these are all peers. Each of them must be heard from, so
+with more of them the holder would have to stop sooner."""
 
 PROMISE_MS: Final = 1_500
-"""How long a named claimant does not claim after it has heard the holder: seven reports. A node
-that starts again is heard within it: a rolling stop does not end the holder's right."""
+"""How long a named claim candidate does not claim after it has received a heartbeat of the holder:
+seven heartbeats. A node that restarts is heard from again within this time, so a rolling restart
+does not end the holder's lease."""
 
 UNNAMED_CLAIM_DELAY_MS: Final = 8_000
-"""How much longer a node that is no named claimant waits before it claims, and how long the holder
-goes on by the claimants' promises at most. It is waited for only when all of these are lost."""
+"""How much longer a node waits before it claims when it is not a named candidate, and for how long
+at most the holder continues by the candidates' promises. The wait matters only when all candidates
+have failed."""
 
 MAX_PEER_SILENCE_MS: Final = 700
-"""How lately other nodes must have been heard when a holder goes on without the store: three of
-their reports. A holder that was frozen has heard nobody and asks first."""
+"""How recently a peer must have been heard from for a holder to continue without the store: three
+heartbeats. A holder whose process was suspended has received none, and waits until one arrives."""
 
 MACHINE_CLASS_FACTOR: Final = 2.0
-"""Machines within this factor count as equal: the duty need not go round for less, and among equals
-the hash spreads the duties of several cells."""
+"""Machines whose speeds are within this factor are in the same class. A smaller difference is no
+reason to move a lease, and within a class the hash spreads the leases of several cells."""
 
 
 def ranked_candidates(cell: str, cores_by_name: Mapping[str, float]) -> list[str]:
-    """Return who should hold a cell's duty, best first: by class of machine, by hash within one.
+    """Return who should hold a cell's lease, best first: by class of machine, then by hash.
 
-    A holder plans for all runners of its cell. On a machine with a quarter of the processor it
-    can't keep up with the rush that takes half of a faster one, and requests wait for it.
+    A holder plans for all runners of its cell. A load peak that needs half of a fast machine
+    overloads one with a quarter of its processor, and requests would wait for the plans.
 
     >>> ranked_candidates("c", {"a": 0.5, "b": 0.5}) == rank("c", ["a", "b"])
     True
@@ -52,21 +55,23 @@
 
 
 def machine_class(cores: float) -> int:
-    """Return the class of a machine; a higher one is faster."""
+    """Return the speed class of a machine; a higher one is faster."""
     return math.floor(math.log(cores, MACHINE_CLASS_FACTOR))
 
 
 @attrs.frozen(slots=True)
 class CellLeaseRow:
-    """A duty's row in the table service.
+    """The row of a cell lease in the table service.
 
-    :param epoch: rises with each holder; the fencing number of its orders.
+    :param boot: identifies one run of the holder's process.
+    :param epoch: the fencing token of the holder's orders; it rises with each new holder.
     :param counter: rises with each renewal.
-    :param heirs: where runners check fencing numbers, the nodes that may go on while the store is
-        lost, in this order; the first has the next epoch, the second the one after it. Where they
-        don't, the nodes that may claim first once the holder is silent.
-    :param released: the holder has given the duty up.
-    :param before: who held it before.
+    :param standbys: where runners check fencing numbers, the nodes that may take over while the
+        store is unreachable, in this order; the first uses the next epoch, the second the one after
+        it. Where runners do not check them, the claim candidates: the nodes that may claim first
+        once the holder is silent.
+    :param is_released: whether the holder has released the lease.
+    :param previous_holder: who held the lease before.
     """
 
     cell: str
@@ -79,21 +84,24 @@
     previous_holder: str = ""
 
     def next_epoch(self) -> int:
-        """Return the lowest epoch that neither this holder nor an heir of it uses."""
+        """Return the lowest epoch that neither this holder nor one of its standbys uses."""
         return self.epoch + 1 + MAX_STANDBYS
 
     def taken_over_by(self, node: str, boot: str) -> CellLeaseRow | None:
-        """Return the duty as an heir holds it, or ``None`` for a node that is none."""
+        """Return the lease as a standby holds it, or ``None`` for a node that is not a standby."""
         if node not in self.standbys[:MAX_STANDBYS]:
             return None
-        place = self.standbys.index(node)
-        # Who comes after this heir keeps its epoch: its place counts from here on.
-        rest = self.standbys[place + 1 : MAX_STANDBYS]
-        return CellLeaseRow(self.cell, node, boot, self.epoch + 1 + place, 0, rest)
+        index = self.standbys.index(node)
+        # The later standbys keep their epochs, since their positions now count from this one.
+        rest = self.standbys[index + 1 : MAX_STANDBYS]
+        return CellLeaseRow(self.cell, node, boot, self.epoch + 1 + index, 0, rest)
 
 
 class HeldCellLease:
-    """Tells a holder whether it may give orders, on its own clock."""
+    """Tells a holder whether it may send orders, by its own clock.
+
+    :param fenced: whether runners check fencing numbers.
+    """
 
     def __init__(self, timing: LeaseTiming, fenced: bool) -> None:
         self._timing = timing
@@ -103,19 +111,19 @@
         self.row_version = 0
 
     def update_settings(self, timing: LeaseTiming, fenced: bool) -> None:
-        """Take changed bounds."""
+        """Apply changed settings."""
         self._timing = timing
         self._fenced = fenced
 
     def duration_ms(self) -> int:
-        """Return how long a renewal is good for."""
+        """Return how long the lease lasts after a renewal."""
         return self._timing.duration_ms
 
     def record_write(self, row: CellLeaseRow, row_version: int, sent_ms: int) -> None:
-        """Take a successful claim or renewal.
+        """Record a successful claim or renewal.
 
-        :param sent_ms: this node's time before the write was sent: the store can only have applied
-            it later, so every claimant's count begins later than the holder's.
+        :param sent_ms: this node's time before the write was sent. The store can only have applied
+            it later, so the time of each claim candidate starts later than the holder's.
         """
         self.row = row
         self.row_version = row_version
@@ -123,13 +131,13 @@
         self._valid_until_ms = max(self._valid_until_ms, until_ms)
 
     def take_over(self, row: CellLeaseRow, row_version: int) -> None:
-        """Take the duty as an heir, without the store: it lasts as long as the store is lost."""
+        """Hold the lease as a standby, without the store, for as long as it is unreachable."""
         self.row = row
         self.row_version = row_version
         self._valid_until_ms = 0
 
     def drop(self) -> None:
-        """Take that another node holds the duty, or that nobody may know."""
+        """Stop holding the lease: another node holds it, or may hold it."""
         self.row = None
         self.row_version = 0
         self._valid_until_ms = 0
@@ -142,16 +150,18 @@
         peer_silence_ms: int | None,
         promised_until_ms: int = 0,
     ) -> bool:
-        """Tell whether an order may be sent at this moment.
-
-        Without the store nobody can claim. Where runners refuse old fencing numbers, a holder that
-        still hears the others, and hears of no newer claim, goes on: stopping all loads for the
-        length of an outage would help nobody. Where they don't, only a promise of every node that
-        may claim takes the place of the lease.
-
-        :param newest_epoch: the highest epoch that any node was heard to name.
-        :param peers_heard_ms: how long ago another node was heard; ``None`` where there is none.
-        :param promised_until_ms: until when no node that may claim will.
+        """Return whether an order may be sent at this moment.
+
+        Without the store no node can claim. Where runners refuse old fencing numbers, a holder that
+        still hears from its peers and knows of no newer claim continues after its lease has run
+        out, since adapters must be loaded during an outage, too. Where runners do not check them, a
+        holder needs a promise of each claim candidate instead of the lease.
+
+        :param newest_epoch: the highest epoch that any node has announced.
+        :param is_store_lost: whether the store is unreachable.
+        :param peer_silence_ms: how long ago the last heartbeat of any peer was received; ``None``
+            if there are no peers.
+        :param promised_until_ms: until when no claim candidate will claim.
         """
         if self.row is None or newest_epoch > self.row.epoch:
             return False
@@ -165,9 +175,11 @@
 
 
 class CellLeaseWatch:
-    """Tells a claimant whether a duty is free, on the claimant's own clock.
+    """Tells a claim candidate whether a cell lease is free, by the candidate's own clock.
 
-    :param turn_ms: how long a duty stays away from a node that has lost it, without fences.
+    :param fenced: whether runners check fencing numbers.
+    :param return_delay_ms: where they do not, how long a node that has lost the lease must not
+        claim it again.
     """
 
     def __init__(self, timing: LeaseTiming, fenced: bool, return_delay_ms: int = 0) -> None:
@@ -180,7 +192,7 @@
         self._epoch_seen_ms = 0
 
     def update_settings(self, timing: LeaseTiming, fenced: bool, return_delay_ms: int = 0) -> None:
-        """Take changed bounds."""
+        """Apply changed settings."""
         self._timing = timing
         self._fenced = fenced
         self._return_delay_ms = return_delay_ms
@@ -192,10 +204,12 @@
         now_ms: int,
         announced_ms: int | None = None,
     ) -> None:
-        """Take the row as the store holds it.
+        """Record the row as the store holds it.
 
-        :param told_ms: when the holder was first heard to tell this row: after it had written it,
-            so its lease can be counted from there though the row is read only now.
+        :param row: ``None`` if the store has none.
+        :param announced_ms: when the holder's first announcement of this row was received. That was
+            after it had written the row, so its lease can be counted from then, although the row is
+            read only now.
         """
         if row_version < self.row_version:
             return
@@ -207,40 +221,41 @@
         self.row_version = row_version
 
     def has_lapsed(self, now_ms: int, since_ms: int) -> bool:
-        """Tell whether a lease that was seen renewed at some moment is over."""
+        """Return whether a lease whose renewal was seen at some time has run out."""
         return now_ms - since_ms > self._timing.claim_after_ms
 
     def may_claim(
         self, node: str, boot: str, now_ms: int, is_holder_silent: bool, hears_most_peers: bool
     ) -> bool:
-        """Tell whether this node may claim.
+        """Return whether this node may claim the lease.
 
-        :param holder_silent: the holder's reports have stopped.
-        :param others_heard: most other nodes are heard, so the silence is not this node's own.
+        :param is_holder_silent: whether the holder's heartbeats have stopped.
+        :param hears_most_peers: whether heartbeats of most other peers arrive, so that the silence
+            is not caused by this node's own network.
         """
         if self.row is None:
             return True
         unchanged_ms = now_ms - self._renewal_seen_ms
-        lapsed = self.has_lapsed(now_ms, self._renewal_seen_ms)
+        has_lapsed = self.has_lapsed(now_ms, self._renewal_seen_ms)
         if self.row.holder == node:
-            # A former life of this node's process, or a claim whose answer was lost.
-            return self.row.is_released or self.row.boot != boot or lapsed
+            # An earlier run of this node's process claimed it, or the answer to a claim was lost.
+            return self.row.is_released or self.row.boot != boot or has_lapsed
         if not self._fenced and self._returns_too_soon(node, now_ms):
             return False
         if self.row.is_released:
             return True
         if self._fenced:
-            # Runners that check fencing numbers stop the old holder by themselves.
-            return lapsed or (is_holder_silent and hears_most_peers)
+            # Runners that check fencing numbers refuse orders of the old holder themselves.
+            return has_lapsed or (is_holder_silent and hears_most_peers)
         if node in self.row.standbys:
-            return lapsed and is_holder_silent
+            return has_lapsed and is_holder_silent
         return unchanged_ms > self._timing.claim_after_ms + UNNAMED_CLAIM_DELAY_MS
 
     def _returns_too_soon(self, node: str, now_ms: int) -> bool:
-        """Tell whether a duty would come back to a node within the time of a lease.
+        """Return whether the lease would return to its previous holder too soon.
 
-        Two holders that take turns can each have orders on their way to one runner; where runners
-        check no fencing numbers, the older ones would be carried out after the newer.
+        Two nodes that hold the lease in turn can both have orders in transit to one runner. A
+        runner that does not check fencing numbers would carry out the older ones after the newer.
         """
-        back = self.row is not None and self.row.previous_holder == node
-        return back and now_ms - self._epoch_seen_ms <= self._return_delay_ms
+        returns = self.row is not None and self.row.previous_holder == node
+        return returns and now_ms - self._epoch_seen_ms <= self._return_delay_ms
--- a/monsoonflow/ownership/const.py
+++ b/monsoonflow/ownership/const.py
@@ -1,4 +1,4 @@
-"""Constants of ownership."""
+"""Constants of the ownership component."""
 
 from __future__ import annotations
 
--- a/monsoonflow/ownership/lease.py
+++ b/monsoonflow/ownership/lease.py
@@ -1,4 +1,7 @@
-"""The holder's and the claimant's side of a lease; neither compares wall clocks."""
+"""The lease of a node as seen by its holder and by claim candidates.
+
+Neither side compares wall clocks; each uses only its own monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +10,10 @@
 
 
 class HeldLease:
-    """Tells a holder whether its lease is still good, on its own monotonic clock.
+    """Tells a holder whether its lease is still valid, by its own monotonic clock.
 
-    Validity counts from the moment *before* a renewal was sent: the table can only have applied it
-    later, so every claimant's count starts later than the holder's.
+    Validity counts from *before* a renewal was sent. The table can only have applied the renewal
+    later, so the time of each claim candidate starts later than the holder's.
     """
 
     def __init__(self, timing: LeaseTiming, max_outage_ms: int = MAX_OUTAGE_MS) -> None:
@@ -22,7 +25,7 @@
         self.has_lapsed = False
 
     def is_held(self, now_ms: int) -> bool:
-        """Tell whether orders may be sent at this moment."""
+        """Return whether orders may be sent at this moment."""
         if self.has_lapsed or self._valid_until_ms is None:
             return False
         if now_ms < self._valid_until_ms:
@@ -31,15 +34,15 @@
         return False
 
     def remaining_ms(self, now_ms: int) -> int:
-        """Return how long the lease is still good for."""
+        """Return how long the lease is still valid."""
         return max(0, (self._valid_until_ms or 0) - now_ms) if self.is_held(now_ms) else 0
 
     def record_renewal(self, sent_ms: int, now_ms: int) -> bool:
-        """Take the answer to a renewal.
+        """Record a successful renewal.
 
-        An answer that arrives after expiry must not revive the lease: a claimant may have claimed
-        in between, and two owners would evict under each other's requests. A lapsed lease stays
-        lapsed; the node starts again under a new incarnation.
+        An answer that arrives after the lease has lapsed must not revive it. Another node may have
+        claimed meanwhile, and two owners would evict adapters that the other's requests need. A
+        lapsed lease stays lapsed; the node starts again under a new incarnation.
 
         :param sent_ms: the holder's time before the renewal was sent.
         :returns: whether the lease is held.
@@ -54,19 +57,20 @@
         return True
 
     def record_promise(self, successor: str, requested_ms: int, for_ms: int) -> None:
-        """Take a successor's promise not to claim.
+        """Record a successor's promise not to claim.
 
-        :param asked_ms: the holder's time before it asked.
-        :param for_ms: how long the successor will not claim, from when it was asked.
+        :param requested_ms: the holder's time before it requested the promise.
+        :param for_ms: how long the successor will not claim, from when it received the request.
         """
         until_ms = requested_ms + for_ms - self._timing.margin_ms
         self._promised_until_by_successor[successor] = until_ms
 
     def extend_by_promises(self, successors: tuple[str, ...], now_ms: int) -> bool:
-        """Go on without the table while *every* named successor has promised not to claim.
+        """Extend the lease without the table while *every* successor has promised not to claim.
 
-        Only named successors may claim early, and anyone else waits out the longest outage; so with
-        all promises in hand nobody claims, and an outage longer than the lease stops no service.
+        Only the successors may claim early; all other nodes wait for the longest outage first. With
+        all promises, therefore, no node claims, and an outage of the table that is longer than the
+        lease does not interrupt service.
 
         :returns: whether the lease is held.
         """
@@ -79,7 +83,7 @@
 
 
 class LeaseWatch:
-    """Tells a claimant whether another node's lease has lapsed, on the claimant's own clock."""
+    """Tells a claim candidate whether another node's lease has lapsed, by the candidate's clock."""
 
     def __init__(self, timing: LeaseTiming, max_outage_ms: int = MAX_OUTAGE_MS) -> None:
         self._timing = timing
@@ -89,9 +93,9 @@
         self._claiming: set[str] = set()
 
     def record_row(self, incarnation: str, counter: int, read_ms: int) -> None:
-        """Take a row as read from the table.
+        """Record a lease row as read from the table.
 
-        :param read_ms: the claimant's time when the answer came.
+        :param read_ms: this node's time when the answer arrived.
         """
         known = self._seen_by_incarnation.get(incarnation)
         if known is None or counter > known[0]:
@@ -99,10 +103,10 @@
             self._claiming.discard(incarnation)
 
     def promise(self, incarnation: str, for_ms: int, now_ms: int) -> bool:
-        """Promise a holder not to claim from it.
+        """Promise a holder not to claim what it owns.
 
-        :param for_ms: how long the promise is good for.
-        :returns: ``False`` once this node has begun to claim; a promise after that would be false.
+        :param for_ms: how long the promise lasts.
+        :returns: ``False`` if this node has already begun to claim, and so makes no promise.
         """
         if incarnation in self._claiming:
             return False
@@ -111,17 +115,17 @@
         return True
 
     def begin_claim(self, incarnation: str) -> None:
-        """Record that a claim is about to be written; from here on no promise is given."""
+        """Record that a claim is about to be written; no promise is made after that."""
         self._claiming.add(incarnation)
 
     def has_lapsed(
         self, incarnation: str, is_successor: bool, last_read_ms: int, now_ms: int
     ) -> bool:
-        """Tell whether this node may claim what an incarnation owned.
+        """Return whether this node may claim what an incarnation owned.
 
-        :param named: whether this node is one of the holder's named successors.
-        :param last_read_ms: when this node last read the table: silence counts only up to there,
-            since an unread row says nothing.
+        :param is_successor: whether this node is one of the holder's successors.
+        :param last_read_ms: when this node last read the table. The holder's silence counts only up
+            to then, since nothing is known of its renewals after that.
         """
         known = self._seen_by_incarnation.get(incarnation)
         if known is None:
@@ -137,7 +141,7 @@
         return silent_ms > wait_ms
 
     def forget(self, incarnation: str) -> None:
-        """Drop what is known of an incarnation that is gone."""
+        """Forget an incarnation whose row was removed."""
         self._seen_by_incarnation.pop(incarnation, None)
         self._promised_until_by_incarnation.pop(incarnation, None)
         self._claiming.discard(incarnation)
--- a/monsoonflow/ownership/models.py
+++ b/monsoonflow/ownership/models.py
@@ -1,4 +1,4 @@
-"""Data of leases and ownership rows."""
+"""Data models of leases and runner ownership."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen(slots=True)
 class LeaseTiming:
-    """States how long leases last.
+    """How long a lease lasts.
 
-    :param duration_ms: how long a renewal is good for.
-    :param margin_ms: what the holder gives up early and a claimant waits on top, so that clocks
-        that run at slightly different speeds never overlap.
+    :param duration_ms: how long a lease lasts after a renewal.
+    :param margin_ms: by how much the holder stops earlier than that, and a claim candidate waits
+        longer. It prevents overlap when the clocks of the two run at slightly different speeds.
     """
 
     duration_ms: int
@@ -19,17 +19,17 @@
 
     @property
     def claim_after_ms(self) -> int:
-        """Return how long a claimant must have seen an unchanged counter."""
+        """Return how long a claim candidate must have seen an unchanged counter."""
         return self.duration_ms + self.margin_ms
 
 
 @attrs.frozen(slots=True)
 class LeaseRow:
-    """A node's row in the table service.
+    """A node's lease in the table service.
 
-    :param incarnation: names one life of the node's process.
+    :param incarnation: identifies one run of the node's process.
     :param counter: rises with each renewal.
-    :param successors: the incarnations that may claim when the lease lapses.
+    :param successors: the incarnations that may claim the node's runners when the lease lapses.
     """
 
     node: str
@@ -44,9 +44,10 @@
 
 @attrs.frozen(slots=True)
 class OwnerRow:
-    """A runner's row in the table service.
+    """A runner's owner in the table service.
 
-    :param fence: rises with each change of owner; sent on every order.
+    :param fence: the fencing number; it rises with each change of owner and is sent with each
+        order.
     """
 
     runner_id: str
@@ -59,7 +60,9 @@
 class Claim:
     """The decision to claim a runner.
 
-    :param expected_version: the row version that the conditional write is bound to (0: no row).
+    :param row: the ownership row to write.
+    :param expected_version: the version that the present row must have for the write to succeed
+        (0: no row).
     """
 
     row: OwnerRow
--- a/monsoonflow/ownership/runner_claims.py
+++ b/monsoonflow/ownership/runner_claims.py
@@ -1,4 +1,4 @@
-"""Decides which runners this node should claim or hand over."""
+"""Decides which node should own a runner, and which runners this node claims."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 
 def preferred_owner(runner_id: str, nodes: Iterable[str], all_runners: list[str]) -> str | None:
-    """Return the node that should own a runner, with shares kept within one of each other.
+    """Return the node that should own a runner, or ``None`` if there is no node.
 
-    Plain rendezvous hashing over few runners leaves some nodes with three and others with none;
-    each runner in turn takes its best node that has not reached the fair share.
+    The numbers of runners per node are kept about equal. Rendezvous hashing alone, with few
+    runners, would leave some nodes with three and others with none. Therefore each runner in turn
+    is assigned to its best-ranked node that has not reached its fair share.
 
-    :param total_runners: all runners, so that every node computes the same shares.
+    :param all_runners: all runners, so that every node computes the same assignment.
     """
     names = sorted(nodes)
     if not names:
@@ -40,13 +41,13 @@
     live_rows: dict[str, LeaseRow],
     lapsed_incarnations: set[str],
 ) -> list[Claim]:
-    """Return the runners to claim now.
+    """Return claims for the runners that this node should claim now.
 
-    :param me: this node's own row.
+    :param own_row: this node's lease row.
     :param runners: every runner in the configuration.
-    :param owners: the ownership rows and their versions, by runner.
-    :param live: the rows of the nodes that take new work, by incarnation.
-    :param lapsed: the incarnations whose leases this node may treat as lapsed.
+    :param owner_by_runner: the ownership rows and their versions.
+    :param live_rows: the lease rows of the nodes that take new work, by incarnation.
+    :param lapsed_incarnations: the incarnations whose leases this node may treat as lapsed.
     """
     names = {row.node for row in live_rows.values() if not row.leaving}
     decided: list[Claim] = []
