--- a/monsoonflow/membership/__init__.py
+++ b/monsoonflow/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Knows which nodes and VMs are there, which are leaving and which are silent."""
+"""Tracks which nodes and backend servers are present, leaving or silent."""
--- a/monsoonflow/membership/view.py
+++ b/monsoonflow/membership/view.py
@@ -1,4 +1,4 @@
-"""The aggregate of what one node knows of the others."""
+"""What a node knows of its peers, and which backend servers are leaving."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 @attrs.define(slots=True)
 class Peer:
-    """Another node as last heard of.
+    """Another node, as last known.
 
-    :param heard_ms: when its heartbeat or a new lease counter last arrived, on our clock.
+    :param last_seen_ms: when its heartbeat or a new lease counter last arrived, by this node's
+        clock.
     """
 
     row: LeaseRow
@@ -21,7 +22,11 @@
 
 
 class Membership:
-    """Holds the other nodes; liveness is judged by progress, never by a socket's state."""
+    """The peers of a node. Whether a peer is alive depends on its heartbeats, not on connections.
+
+    :param own_row: this node's own lease row.
+    :param silent_after_ms: after how long without a sign of activity a peer is not alive.
+    """
 
     def __init__(self, own_row: LeaseRow, silent_after_ms: int) -> None:
         self.own_row = own_row
@@ -29,7 +34,7 @@
         self._silent_after_ms = silent_after_ms
 
     def apply_rows(self, rows: list[LeaseRow], now_ms: int) -> None:
-        """Take all lease rows as read from the table; rows that are gone end their peers."""
+        """Apply all lease rows as read from the table; peers without a row are removed."""
         present = {row.incarnation for row in rows}
         for incarnation in set(self.peer_by_incarnation) - present:
             del self.peer_by_incarnation[incarnation]
@@ -47,7 +52,7 @@
     def record_heartbeat(
         self, incarnation: str, is_leaving: bool, config_version: int, now_ms: int
     ) -> None:
-        """Take a heartbeat; what it says of leaving is final for that incarnation."""
+        """Record a heartbeat; an incarnation that was leaving once stays so."""
         peer = self.peer_by_incarnation.get(incarnation)
         if peer is None:
             return
@@ -56,7 +61,7 @@
         peer.config_version = max(peer.config_version, config_version)
 
     def live_peers(self, now_ms: int) -> list[Peer]:
-        """Return the peers that were heard of within the bound, leaving ones included."""
+        """Return the peers that were seen recently, including those that are leaving."""
         return [
             peer
             for peer in self.peer_by_incarnation.values()
@@ -69,10 +74,14 @@
 
 
 class LeavingServers:
-    """Collects the ways of learning that a backend server leaves; the first one counts.
+    """Collects the indications that a backend server is leaving; any one of them is enough.
+
+    The VM list is late, a server's own answer comes only with a health check, and a crashed server
+    does not answer. With only one of these sources, servers that leave would get new work for too
+    long.
 
-    The VM list lags, a server's own answer comes only when it is asked, and a crashed one says
-    nothing; each way alone would let new work through for too long.
+    :param max_failed_checks: after how many failed health checks in a row a server gets no new
+        work.
     """
 
     def __init__(self, max_failed_checks: int) -> None:
@@ -82,13 +91,14 @@
         self._failed_checks_by_server: dict[str, int] = {}
 
     def update_vm_list(self, leaving_servers: set[str]) -> None:
-        """Take the VM list's leaving servers."""
+        """Record which servers are leaving according to the VM list."""
         self._listed_servers = set(leaving_servers)
 
     def record_answer(self, server: str, boot_id: str, is_leaving: bool) -> None:
-        """Take a server's own answer to a health check.
+        """Record a server's answer to a health check.
 
-        A server that comes back under the same address has another boot id and starts afresh.
+        A restarted server with the same address has another boot id, and no longer counts as
+        leaving.
         """
         self._failed_checks_by_server.pop(server, None)
         if is_leaving:
@@ -97,19 +107,19 @@
             del self._leaving_boot_by_server[server]
 
     def record_failed_check(self, server: str) -> None:
-        """Count a failed health check."""
+        """Record a failed health check."""
         self._failed_checks_by_server[server] = self._failed_checks_by_server.get(server, 0) + 1
 
     def takes_new_work(self, server: str) -> bool:
-        """Tell whether new work may go to a server."""
+        """Return whether new work may be sent to a server."""
         return self.leave_reason(server) is None
 
     def leave_reason(self, server: str) -> str | None:
         """Return why a server gets no new work, or ``None``."""
         if server in self._leaving_boot_by_server:
-            return "it says that it leaves"
+            return "the server reports that it is leaving"
         if server in self._listed_servers:
-            return "the VM list says that it leaves"
+            return "the VM list marks it as leaving"
         if self._failed_checks_by_server.get(server, 0) >= self._max_failed_checks:
             return "its health checks fail"
         return None
--- a/tests/membership/test_leaving.py
+++ b/tests/membership/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of the ways of learning that a backend server leaves."""
+"""Tests of the indications that a backend server is leaving."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     return LeavingServers(max_failed_checks=3)
 
 
-def test_each_way_alone_is_enough(leaving):
+def test_each_indication_alone_is_enough(leaving):
     assert leaving.takes_new_work("s")
     leaving.update_vm_list({"s"})
     assert not leaving.takes_new_work("s")
@@ -25,19 +25,19 @@
     assert not other.takes_new_work("s")
 
 
-def test_server_that_said_it_leaves_can_not_take_it_back(leaving):
+def test_server_that_reported_leaving_stays_so_for_its_boot(leaving):
     leaving.record_answer("s", "boot-1", is_leaving=True)
     leaving.record_answer("s", "boot-1", is_leaving=False)
     assert not leaving.takes_new_work("s")
 
 
-def test_server_back_under_the_same_address_starts_afresh(leaving):
+def test_restarted_server_with_the_same_address_gets_new_work(leaving):
     leaving.record_answer("s", "boot-1", is_leaving=True)
     leaving.record_answer("s", "boot-2", is_leaving=False)
     assert leaving.takes_new_work("s")
 
 
-def test_one_good_answer_clears_failed_checks(leaving):
+def test_successful_check_clears_failed_checks(leaving):
     for _ in range(5):
         leaving.record_failed_check("s")
     leaving.record_answer("s", "boot-1", is_leaving=False)
