--- a/monsoonflow/fleet/view.py
+++ b/monsoonflow/fleet/view.py
@@ -49,7 +49,7 @@
 After that it is no better than what the other peers announced of their own work."""
 
 MAX_SENT_HEARTBEATS: Final = 512
-"""The number of this node's messages whose send time is remembered: those of a few seconds of a
+"""The number of this node's heartbeats whose send time is remembered: those of a few seconds of a
 busy lease holder."""
 
 LONG_AGO_MS: Final = -1_000_000_000
--- a/monsoonflow/ownership/runner_claims.py
+++ b/monsoonflow/ownership/runner_claims.py
@@ -13,22 +13,22 @@
 def preferred_owner(runner_id: str, nodes: Iterable[str], all_runners: list[str]) -> str | None:
     """Return the node that should own a runner, or ``None`` if there is no node.
 
-    The numbers of runners per node are kept about equal. Rendezvous hashing alone, with few
-    runners, would leave some nodes with three and others with none. Therefore each runner in turn
-    is assigned to its best-ranked node that has not reached its fair share.
+    Each node gets at most an equal share of the runners, rounded up. Rendezvous hashing alone, with
+    few runners, would leave some nodes with three and others with none. Therefore each runner in
+    turn is assigned to its best-ranked node that has not reached its share.
 
     :param all_runners: all runners, so that every node computes the same assignment.
     """
     names = sorted(nodes)
     if not names:
         return None
-    share = -(-len(all_runners) // len(names))
+    max_runners = -(-len(all_runners) // len(names))
     count_by_node = dict.fromkeys(names, 0)
-    for current in sorted(all_runners):
-        for name in rank(current, names):
-            if count_by_node[name] < share:
+    for assigned_id in sorted(all_runners):
+        for name in rank(assigned_id, names):
+            if count_by_node[name] < max_runners:
                 count_by_node[name] += 1
-                if current == runner_id:
+                if assigned_id == runner_id:
                     return name
                 break
     return None
@@ -50,7 +50,7 @@
     :param lapsed_incarnations: the incarnations whose leases this node may treat as lapsed.
     """
     names = {row.node for row in live_rows.values() if not row.leaving}
-    decided: list[Claim] = []
+    claims: list[Claim] = []
     for runner_id in runners:
         known = owner_by_runner.get(runner_id)
         if known is not None and not _is_free(known[0], own_row, lapsed_incarnations):
@@ -60,8 +60,8 @@
         fence = known[0].fence + 1 if known else 1
         row = OwnerRow(runner_id, own_row.node, own_row.incarnation, fence)
         reason = "nobody owned it" if known is None else "its owner's lease lapsed"
-        decided.append(Claim(row, known[1] if known else 0, reason))
-    return decided
+        claims.append(Claim(row, known[1] if known else 0, reason))
+    return claims
 
 
 def _is_free(owner: OwnerRow, own_row: LeaseRow, lapsed_incarnations: set[str]) -> bool:
