--- a/monsoonflow/membership/view.py
+++ b/monsoonflow/membership/view.py
@@ -22,7 +22,9 @@
 
 
 class Membership:
-    """The peers of a node. Whether a peer is alive depends on its heartbeats, not on connections.
+    """The peers of a node.
+
+    Whether a peer is alive depends on its heartbeats and lease renewals, not on connections.
 
     :param own_row: this node's own lease row.
     :param silent_after_ms: after how long without a sign of activity a peer is not alive.
