--- a/monsoonflow/entry/__init__.py
+++ b/monsoonflow/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Wires the daemon that takes callers' requests for any backend server."""
+"""The daemon that accepts callers' requests and forwards them to the backend servers."""
--- a/monsoonflow/entry/address_directory.py
+++ b/monsoonflow/entry/address_directory.py
@@ -13,22 +13,22 @@
 
 _LOGGER = logging.getLogger(__name__)
 MAX_ADDRESSES: Final = 64
-"""More than a caller needs; it picks one at random for each connection."""
+"""More than a caller needs: it picks one at random for each connection."""
 
 MAX_TTL_MS: Final = 2_000
-"""How long an answer may be kept: a node that stops is out of use a few seconds later."""
+"""How long an answer may be cached: a node that stops is no longer used a few seconds later."""
 
 MIN_LOG_INTERVAL_MS: Final = 10_000
-"""A change of the named nodes is logged so often at most, for each data centre."""
+"""Shortest interval between two log lines about changed nodes, for each data centre."""
 
 
 class AddressDirectory:
-    """The entry nodes that take callers now.
+    """The entry nodes that accept callers now.
 
-    :param own_ready: tells whether this node takes callers itself.
-    :param ttl_ms: the longest time that an answer may be kept.
-    :param data_centre: of this node; taken for callers that name none that is known.
-    :param own_lag_ms: returns how late this node usually runs what is due.
+    :param is_own_node_ready: returns whether this node accepts callers itself.
+    :param max_ttl_ms: the longest time that an answer may be cached.
+    :param data_centre: of this node; used for callers that name none or an unknown one.
+    :param own_lag_ms: returns how late this node typically runs tasks that are due.
     """
 
     def __init__(
@@ -52,28 +52,31 @@
         self._logged_ms_by_data_centre: dict[str, int] = {}
 
     def choose(self, data_centre: str | None = None) -> tuple[list[str], float]:
-        """Return addresses and for how many seconds they may be kept.
+        """Return addresses and for how many seconds they may be cached.
 
-        :param data_centre: where the caller says it is; anything is taken.
+        :param data_centre: where the caller says it is; any text is accepted.
         """
         now_ms = self._clock.now_ms()
         candidates = self._candidates(now_ms)
         known = {candidate.data_centre for candidate in candidates}
-        near = data_centre if data_centre in known else self._data_centre
-        found = advertised_nodes(candidates, near)
-        self._log_changes(near, found, len(candidates), now_ms)
-        return [candidate.address for candidate in found[:MAX_ADDRESSES]], self._ttl_s
+        near_data_centre = data_centre if data_centre in known else self._data_centre
+        chosen_nodes = advertised_nodes(candidates, near_data_centre)
+        self._log_changes(near_data_centre, chosen_nodes, len(candidates), now_ms)
+        return [candidate.address for candidate in chosen_nodes[:MAX_ADDRESSES]], self._ttl_s
 
     def advertised_counts(self) -> dict[str, int]:
-        """Return how many nodes were last named, by data centre."""
-        return {where: len(names) for where, names in self._advertised_by_data_centre.items()}
+        """Return how many nodes were last advertised, by data centre."""
+        return {
+            data_centre: len(names)
+            for data_centre, names in self._advertised_by_data_centre.items()
+        }
 
     def _candidates(self, now_ms: int) -> list[CandidateNode]:
         view = self._view
         holders = view.holder_names()
-        found = []
+        candidates = []
         if self._is_own_node_ready():
-            found.append(
+            candidates.append(
                 CandidateNode(
                     view.name,
                     self._data_centre,
@@ -83,40 +86,46 @@
                     view.name in holders,
                 )
             )
-        for report in view.heartbeats(now_ms):
-            card = view.record_by_name.get(report.name)
-            if card is None or not report.is_ready or report.is_leaving:
+        for heartbeat in view.heartbeats(now_ms):
+            record = view.record_by_name.get(heartbeat.name)
+            if record is None or not heartbeat.is_ready or heartbeat.is_leaving:
                 continue
-            found.append(
+            candidates.append(
                 CandidateNode(
-                    card.name,
-                    card.data_centre,
-                    card.callers_address,
-                    card.cores,
-                    report.lag_ms,
-                    card.name in holders,
+                    record.name,
+                    record.data_centre,
+                    record.callers_address,
+                    record.cores,
+                    heartbeat.lag_ms,
+                    record.name in holders,
                 )
             )
-        return found
+        return candidates
 
-    def _log_changes(self, near: str, found: list[CandidateNode], of: int, now_ms: int) -> None:
-        """Log that other nodes are named than before, at times."""
-        names = frozenset(candidate.name for candidate in found)
-        before = self._advertised_by_data_centre.get(near)
-        if names == before:
+    def _log_changes(
+        self,
+        near_data_centre: str,
+        chosen_nodes: list[CandidateNode],
+        candidate_count: int,
+        now_ms: int,
+    ) -> None:
+        """Log a change of the advertised nodes, unless another was logged shortly before."""
+        names = frozenset(candidate.name for candidate in chosen_nodes)
+        previous_names = self._advertised_by_data_centre.get(near_data_centre)
+        if names == previous_names:
             return
-        logged_ms = self._logged_ms_by_data_centre.get(near)
+        logged_ms = self._logged_ms_by_data_centre.get(near_data_centre)
         if logged_ms is not None and now_ms - logged_ms < MIN_LOG_INTERVAL_MS:
             return
-        self._logged_ms_by_data_centre[near] = now_ms
-        self._advertised_by_data_centre[near] = names
+        self._logged_ms_by_data_centre[near_data_centre] = now_ms
+        self._advertised_by_data_centre[near_data_centre] = names
         log(
             _LOGGER,
             events.CallersNamed(
-                data_centre=near,
+                data_centre=near_data_centre,
                 named=len(names),
-                of=of,
-                came=len(names - (before or frozenset())),
-                gone=len((before or frozenset()) - names),
+                of=candidate_count,
+                came=len(names - (previous_names or frozenset())),
+                gone=len((previous_names or frozenset()) - names),
             ),
         )
--- a/monsoonflow/entry/cell_leases.py
+++ b/monsoonflow/entry/cell_leases.py
@@ -1,4 +1,4 @@
-"""Holds the duties of this node, and asks the holders of the others for adapters."""
+"""Holds this node's cell leases and runs a scheduler for each cell that it holds."""
 
 from __future__ import annotations
 
@@ -37,37 +37,38 @@
 LEASE_CHECK_INTERVAL_MS: Final = 100
 SUMMARY_INTERVAL_MS: Final = 1_000
 MAX_PLAN_INTERVAL_MS: Final = 100
-"""Longest pause between two looks at what is to be ordered; news wakes it at once."""
+"""Longest pause between two plans; a change wakes the planner at once."""
 
 QUEUE_CHECK_INTERVAL_MS: Final = 30
-"""How often all who wait are looked at. Who waits for an adapter that has just come is answered at
-once; this finds who is out of hope, a tenth of the shortest wait that is given to a caller."""
+"""How often all queued requests are checked. A request for an adapter that has just been loaded is
+answered at once; this check finds requests that can no longer be served in time. It is a tenth of
+the shortest wait that a caller is given."""
 
 RETIRE_SHARE: Final = 0.55
-"""Share of the bound on new versions after which runners are told to drop an older one: shortly
-after nodes send nothing more for it, and early enough that a lost order is repeated or a new holder
-gives it."""
+"""Share of the bound on new versions after which runners are ordered to drop an older one: shortly
+after nodes send no more requests for it, and early enough that a lost order is repeated or that a
+new holder gives the order."""
 
 RELEASE_CHECK_INTERVAL_MS: Final = 50
-"""How often a stopping holder looks whether the store is back: a quarter of a round of reports."""
+"""How often a stopping holder checks whether the store is back: a quarter of a heartbeat round."""
 
 REFUSED_RETRY_AFTER_MS: Final = 500
 
 
-def _prefill_fields(question: dict[str, Any], now_ms: int) -> dict[str, Any]:
-    """Return what a question tells of its prompt; a node of an earlier release tells nothing."""
-    if question.get("read_ms") is None:
+def _prefill_fields(slot_request: dict[str, Any], now_ms: int) -> dict[str, Any]:
+    """Return what a slot request says of its prompt; a node of an earlier release says nothing."""
+    if slot_request.get("read_ms") is None:
         return {}
     return {
-        "rank": question["rank"],
-        "prompt_tokens": question["prompt_tokens"],
-        "read_by_ms": now_ms + question["read_ms"],
-        "tokens_per_ms": question["tokens_per_ms"],
+        "rank": slot_request["rank"],
+        "prompt_tokens": slot_request["prompt_tokens"],
+        "read_by_ms": now_ms + slot_request["read_ms"],
+        "tokens_per_ms": slot_request["tokens_per_ms"],
     }
 
 
 class CellLease:
-    """The duty of one cell: all runners of one service."""
+    """The lease of one cell, which consists of all runners of one service."""
 
     def __init__(
         self, service: Service, lease_loop: CellLeaseLoop, newest_versions: dict[str, int]
@@ -82,14 +83,14 @@
         self.residency_reporter = ResidencyReporter()
 
     def close_scheduler(self) -> None:
-        """End the desk; who waits there asks again."""
-        desk, self.scheduler = self.scheduler, None
-        if desk is not None:
-            desk.close()
+        """Close the scheduler; the nodes of its queued requests send them again."""
+        scheduler, self.scheduler = self.scheduler, None
+        if scheduler is not None:
+            scheduler.close()
 
 
 class CellLeases:
-    """The placement of adapters, by this node or by another."""
+    """All cells: a lease loop for each, and a scheduler for each one that this node holds."""
 
     def __init__(self, daemon: EntryDaemon, runner_control: RunnerControl) -> None:
         self._daemon = daemon
@@ -101,123 +102,123 @@
         self._planned_work: dict[ServerLife, ServerWork] = {}
 
     def start(self) -> None:
-        """Begin to look after duties."""
+        """Start the lease checks and the planner."""
         self._daemon.tasks.spawn(self._lease_check_loop)
         self._daemon.tasks.spawn(self._plan_loop)
 
     def wake_planner(self) -> None:
-        """Look at once at what is to be ordered."""
+        """Wake the planner, which sends the orders that are due."""
         self._wake_event.set()
 
     def handle_row(self, row: ChangedRow) -> None:
-        """Take a changed row of a duty."""
+        """Apply a changed row of a cell lease."""
         if not row.key.startswith(CELL_LEASE_PREFIX):
             return
         cell = row.key.removeprefix(CELL_LEASE_PREFIX)
         self._row_by_cell[cell] = row
-        duty = self._lease_by_cell.get(cell)
-        if duty is not None:
-            duty.lease_loop.handle_row(row)
+        lease = self._lease_by_cell.get(cell)
+        if lease is not None:
+            lease.lease_loop.handle_row(row)
 
     def update_bounds(self, bounds: PeerBounds) -> None:
-        """Take changed bounds."""
-        for duty in self._lease_by_cell.values():
-            duty.lease_loop.update_bounds(bounds.lease_ms, bounds.fenced)
+        """Apply changed bounds."""
+        for lease in self._lease_by_cell.values():
+            lease.lease_loop.update_bounds(bounds.lease_ms, bounds.fenced)
 
-    def release_all(self, by_ms: int) -> None:
-        """Release all duties, each when the store can take the word.
+    def release_all(self, end_ms: int) -> None:
+        """Release all cell leases, each when the store can record it.
 
-        A duty let go while the store is lost is nobody's until the store is back: nobody could
-        claim it. Its holder goes on as long as it may.
+        A lease that is dropped while the store is unreachable has no holder until the store is
+        back: nobody could claim it. Its holder continues for as long as it may.
 
-        :param by_ms: when the process ends.
+        :param end_ms: when the process ends.
         """
-        for duty in self._lease_by_cell.values():
-            self._daemon.tasks.spawn(self._release_when_store_reachable, duty, by_ms)
+        for lease in self._lease_by_cell.values():
+            self._daemon.tasks.spawn(self._release_when_store_reachable, lease, end_ms)
 
-    def _release_when_store_reachable(self, duty: CellLease, by_ms: int) -> None:
+    def _release_when_store_reachable(self, lease: CellLease, end_ms: int) -> None:
         clock = self._daemon.clock
-        while duty.lease_loop.holds(clock.now_ms()) and clock.now_ms() < by_ms:
-            if not duty.lease_loop.store_lost and duty.lease_loop.store_reachable:
+        while lease.lease_loop.holds(clock.now_ms()) and clock.now_ms() < end_ms:
+            if not lease.lease_loop.store_lost and lease.lease_loop.store_reachable:
                 break
             self._daemon.tasks.sleep(RELEASE_CHECK_INTERVAL_MS)
-        duty.close_scheduler()
-        row = duty.lease_loop.drop_lease()
-        if row is not None:
-            duty.lease_loop.release_row(*row)
+        lease.close_scheduler()
+        released = lease.lease_loop.drop_lease()
+        if released is not None:
+            lease.lease_loop.release_row(*released)
             self._daemon.gossip.send_round()
 
     def holds_any(self) -> bool:
-        """Tell whether some duty is still this node's."""
+        """Return whether this node still holds some cell lease."""
         return any(
-            duty.lease_loop.held_lease.row is not None for duty in self._lease_by_cell.values()
+            lease.lease_loop.held_lease.row is not None for lease in self._lease_by_cell.values()
         )
 
     def lease_of(self, cell: str) -> CellLease | None:
-        """Return what this node has of a cell's duty."""
+        """Return this node's part in the lease of a cell."""
         return self._lease_by_cell.get(cell)
 
     def holds_all(self) -> bool:
-        """Tell whether all duties are this node's."""
-        return all(duty.scheduler is not None for duty in self._lease_by_cell.values())
+        """Return whether this node holds all cell leases."""
+        return all(lease.scheduler is not None for lease in self._lease_by_cell.values())
 
     def other_holders(self) -> list[str]:
-        """Return the other nodes that hold duties."""
+        """Return the other nodes that hold cell leases."""
         claims = [self._daemon.view.claim_of(cell) for cell in self._lease_by_cell]
-        own = self._daemon.settings.name
-        return [claim.holder for claim in claims if claim is not None and claim.holder != own]
+        own_name = self._daemon.settings.name
+        return [claim.holder for claim in claims if claim is not None and claim.holder != own_name]
 
     def claims(self) -> tuple[CellLeaseClaim, ...]:
-        """Return the duties that this node holds, for the others."""
-        claims = [duty.lease_loop.current_claim() for duty in self._lease_by_cell.values()]
+        """Return the claims on the cell leases that this node holds, to be sent to peers."""
+        claims = [lease.lease_loop.current_claim() for lease in self._lease_by_cell.values()]
         return tuple(claim for claim in claims if claim is not None)
 
     def own_residency(self) -> tuple[ResidentAdapters, ...]:
-        """Return what the runners of this node's duties hold, for the others."""
+        """Return which adapters the runners of this node's cells hold, to be sent to peers."""
         return tuple(
             held
-            for duty in self._lease_by_cell.values()
-            if duty.scheduler is not None
-            for held in duty.residency_reporter.report(duty.scheduler)
+            for lease in self._lease_by_cell.values()
+            if lease.scheduler is not None
+            for held in lease.residency_reporter.report(lease.scheduler)
         )
 
     def overloaded_runners(self) -> OverloadedRunners | None:
-        """Return the runners of this node's duties with long queues, for the others.
+        """Return the runners of this node's cells with long queues, to be sent to peers.
 
-        As of the last plan: to add up all nodes' work once more for each report costs as much as a
-        plan does.
+        This uses the work of the last plan: adding up all nodes' work again for each heartbeat
+        would cost as much as a plan.
         """
-        if all(duty.scheduler is None for duty in self._lease_by_cell.values()):
+        if all(lease.scheduler is None for lease in self._lease_by_cell.values()):
             return None
         now_ms = self._daemon.clock.now_ms()
-        pace = self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms)
-        return overloaded_runners(self._planned_work, pace)
+        tokens_per_ms = self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms)
+        return overloaded_runners(self._planned_work, tokens_per_ms)
 
     def mark_unconfirmed(self, life: ServerLife, adapter: str) -> None:
-        """Take that a runner lacks an adapter: what its desk believes of it is looked at again."""
-        for duty in self._lease_by_cell.values():
-            if duty.scheduler is not None:
-                duty.scheduler.mark_unconfirmed(life, adapter, self._daemon.clock.now_ms())
+        """Record that a runner lacks an adapter; its scheduler checks the runner again."""
+        for lease in self._lease_by_cell.values():
+            if lease.scheduler is not None:
+                lease.scheduler.mark_unconfirmed(life, adapter, self._daemon.clock.now_ms())
                 self.wake_planner()
 
     def answer_slot_request(self, request: Request, reply: Reply) -> None:
-        """Answer another node that needs an adapter."""
+        """Answer a peer that needs a slot for an adapter."""
         if reply.caller_left():
-            # Read late by a busy holder: a place would be kept for nobody.
+            # A busy holder reads the request late: a slot would be reserved for nobody.
             return
         try:
-            question = orjson.loads(request.body)
-            duty = self._lease_by_cell.get(question["cell"])
-            found = None
-            if duty is not None and duty.scheduler is not None:
-                found = self.request_slot(duty, question)
+            slot_request = orjson.loads(request.body)
+            lease = self._lease_by_cell.get(slot_request["cell"])
+            result = None
+            if lease is not None and lease.scheduler is not None:
+                result = self.request_slot(lease, slot_request)
         except (ValueError, KeyError, TypeError):
             reply.whole(400, [])
             return
-        match found:
+        match result:
             case Placed(life=life, version=version, tried_ms=tried_ms):
-                told = {"server": life, "version": version, "tried_ms": tried_ms}
-                reply.whole(200, [], orjson.dumps(told))
+                answer = {"server": life, "version": version, "tried_ms": tried_ms}
+                reply.whole(200, [], orjson.dumps(answer))
             case NoSlot(retry_after_ms=retry_after_ms):
                 reply.whole(429, [], orjson.dumps({"retry_after_ms": retry_after_ms}))
             case None:
@@ -226,10 +227,10 @@
     def request_slot(
         self, lease: CellLease, slot_request: dict[str, Any]
     ) -> Placed | NoSlot | None:
-        """Let a request wait at this node's desk until it has a place or is refused."""
+        """Queue a request at this node's scheduler until it gets a slot or is refused."""
         now_ms = self._daemon.clock.now_ms()
         result: AsyncResult = AsyncResult()
-        waiter = QueuedRequest(
+        queued_request = QueuedRequest(
             adapter_name=slot_request["adapter"],
             min_version=slot_request["version"],
             priority=slot_request["priority"],
@@ -242,45 +243,45 @@
             tried_ms=slot_request["tried_ms"],
             **_prefill_fields(slot_request, now_ms),
         )
-        desk = lease.scheduler
+        scheduler = lease.scheduler
         for life in slot_request["lacking"]:
-            desk.mark_unconfirmed(ServerLife(life), waiter.adapter_name, now_ms)
-        desk.request_slot(waiter, now_ms, self._total_work())
+            scheduler.mark_unconfirmed(ServerLife(life), queued_request.adapter_name, now_ms)
+        scheduler.request_slot(queued_request, now_ms, self._total_work())
         self.wake_planner()
         try:
             return result.get(timeout=slot_request["wait_ms"] / 1000)
         except gevent.Timeout:
             return NoSlot(REFUSED_RETRY_AFTER_MS)
         finally:
-            desk.remove_request(waiter, self._daemon.clock.now_ms())
+            scheduler.remove_request(queued_request, self._daemon.clock.now_ms())
 
     def _lease_check_loop(self) -> None:
         while True:
             self._daemon.tasks.sleep(LEASE_CHECK_INTERVAL_MS)
             self._create_missing_leases()
-            for duty in list(self._lease_by_cell.values()):
-                followed = self._daemon.store_watches
-                duty.lease_loop.loaded = duty.lease_loop.loaded or (
-                    followed is not None and followed.own.loaded
+            for lease in list(self._lease_by_cell.values()):
+                watches = self._daemon.store_watches
+                lease.lease_loop.loaded = lease.lease_loop.loaded or (
+                    watches is not None and watches.own.loaded
                 )
-                duty.lease_loop.store_reachable = followed is not None and followed.reaches_store()
-                duty.lease_loop.step()
+                lease.lease_loop.store_reachable = watches is not None and watches.reaches_store()
+                lease.lease_loop.step()
 
     def _create_missing_leases(self) -> None:
-        table = self._daemon.cluster_state.route_table
-        if table is None:
+        route_table = self._daemon.cluster_state.route_table
+        if route_table is None:
             return
-        for service in table.service_by_name.values():
+        for service in route_table.service_by_name.values():
             if service.engine is None:
                 continue
-            duty = self._lease_by_cell.get(service.name)
-            if duty is None:
-                duty = CellLease(service, self._create_lease_loop(service.name), {})
-                self._lease_by_cell[service.name] = duty
+            lease = self._lease_by_cell.get(service.name)
+            if lease is None:
+                lease = CellLease(service, self._create_lease_loop(service.name), {})
+                self._lease_by_cell[service.name] = lease
                 row = self._row_by_cell.get(service.name)
                 if row is not None:
-                    duty.lease_loop.handle_row(row)
-            duty.service = service
+                    lease.lease_loop.handle_row(row)
+            lease.service = service
 
     def _create_lease_loop(self, cell: str) -> CellLeaseLoop:
         daemon = self._daemon
@@ -299,7 +300,7 @@
         )
 
     def _handle_lease_won(self) -> None:
-        """Begin at once, and tell the others where to ask: requests wait for a holder."""
+        """Start to plan at once, and announce the new holder: requests are waiting for one."""
         self.wake_planner()
         self._daemon.gossip.send_round()
 
@@ -309,47 +310,49 @@
             self._wake_event.clear()
             now_ms = self._daemon.clock.now_ms()
             work: dict[ServerLife, ServerWork] | None = None
-            for duty in list(self._lease_by_cell.values()):
-                if not self._sync_scheduler(duty, now_ms):
+            for lease in list(self._lease_by_cell.values()):
+                if not self._sync_scheduler(lease, now_ms):
                     continue
                 work = self._total_work() if work is None else work
                 self._planned_work = work
-                self._plan(duty, now_ms, work)
+                self._plan(lease, now_ms, work)
             self._apply_peer_residency(now_ms)
-            # What is news meanwhile is planned for together: in a rush a plan for each would take
-            # all of the processor, and the answers to its own orders would wait for it.
+            # Changes that arrive meanwhile are planned for together: during a burst a plan for each
+            # change would use the whole processor, and the answers to the holder's own orders would
+            # wait for it.
             took_ms = self._daemon.clock.now_ms() - now_ms
             if took_ms:
                 self._daemon.tasks.sleep(pause_after_plan_ms(took_ms))
 
-    def _sync_scheduler(self, duty: CellLease, now_ms: int) -> bool:
-        """Open a desk when the duty is won, close it when it is lost."""
-        if not duty.lease_loop.holds(now_ms):
-            if duty.lease_loop.held_lease.row is None:
-                duty.close_scheduler()
+    def _sync_scheduler(self, lease: CellLease, now_ms: int) -> bool:
+        """Open a scheduler when the lease is won, close it when the lease is lost."""
+        if not lease.lease_loop.holds(now_ms):
+            if lease.lease_loop.held_lease.row is None:
+                lease.close_scheduler()
             return False
-        epoch = duty.lease_loop.held_lease.row.epoch
-        duty.epoch = epoch
-        if duty.scheduler is None:
-            duty.scheduler = AdapterScheduler(
-                duty.service.engine,
+        epoch = lease.lease_loop.held_lease.row.epoch
+        lease.epoch = epoch
+        if lease.scheduler is None:
+            lease.scheduler = AdapterScheduler(
+                lease.service.engine,
                 self._daemon.cluster_state.version_by_adapter,
                 self._daemon.settings.bounds.load_window_ms,
                 self._is_retired,
                 now_ms,
             )
-        desk = duty.scheduler
-        present = {
-            s.life for s in self._daemon.cluster_state.server_registry.servers_of(duty.service.name)
+        scheduler = lease.scheduler
+        present_lives = {
+            server.life
+            for server in self._daemon.cluster_state.server_registry.servers_of(lease.service.name)
         }
-        for life in present - desk.runners.keys():
-            desk.add_runner(
+        for life in present_lives - scheduler.runners.keys():
+            scheduler.add_runner(
                 life,
                 self.residency.history(life),
                 self._daemon.cluster_state.server_registry.restarted_ms(life),
             )
-        for life in [known for known in desk.runners if known not in present]:
-            desk.remove_runner(life)
+        for life in [life for life in scheduler.runners if life not in present_lives]:
+            scheduler.remove_runner(life)
             self.residency.forget(life)
         return True
 
@@ -357,88 +360,96 @@
         after_ms = self._daemon.settings.bounds.version_ms * RETIRE_SHARE
         return self._daemon.cluster_state.has_been_superseded_for(ref, after_ms)
 
-    def _plan(self, duty: CellLease, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
-        desk = duty.scheduler
-        for life in desk.runners_needing_report(now_ms):
-            desk.runners[life].has_call_in_progress = True
-            self._daemon.tasks.spawn(self._fetch_runner_report, duty, desk, life)
-        if now_ms - duty.last_queue_check_ms >= QUEUE_CHECK_INTERVAL_MS:
-            duty.last_queue_check_ms = now_ms
-            desk.process_queue(now_ms, work)
-        for step in desk.plan(now_ms, work):
-            self._daemon.tasks.spawn(self._send_order, duty, desk, step)
-        self.residency.apply_report(duty.residency_reporter.report_changes(desk, now_ms))
-        if now_ms - duty.last_summary_ms >= SUMMARY_INTERVAL_MS:
-            duty.last_summary_ms = now_ms
-            self._log_summary(duty, desk, now_ms, work)
+    def _plan(self, lease: CellLease, now_ms: int, work: dict[ServerLife, ServerWork]) -> None:
+        scheduler = lease.scheduler
+        for life in scheduler.runners_needing_report(now_ms):
+            scheduler.runners[life].has_call_in_progress = True
+            self._daemon.tasks.spawn(self._fetch_runner_report, lease, scheduler, life)
+        if now_ms - lease.last_queue_check_ms >= QUEUE_CHECK_INTERVAL_MS:
+            lease.last_queue_check_ms = now_ms
+            scheduler.process_queue(now_ms, work)
+        for step in scheduler.plan(now_ms, work):
+            self._daemon.tasks.spawn(self._send_order, lease, scheduler, step)
+        self.residency.apply_report(lease.residency_reporter.report_changes(scheduler, now_ms))
+        if now_ms - lease.last_summary_ms >= SUMMARY_INTERVAL_MS:
+            lease.last_summary_ms = now_ms
+            self._log_summary(lease, scheduler, now_ms, work)
 
     def _log_summary(
         self,
-        duty: CellLease,
-        desk: AdapterScheduler,
+        lease: CellLease,
+        scheduler: AdapterScheduler,
         now_ms: int,
         work: dict[ServerLife, ServerWork],
     ) -> None:
-        """Log how full the runners' seats are: the first question when requests wait."""
-        seats = [seat for runner in desk.runners.values() for seat in runner.slots.values()]
+        """Log how many of the runners' slots are used: the first question when requests wait."""
+        slots = [slot for runner in scheduler.runners.values() for slot in runner.slots.values()]
         used = {(life, name) for life, w in work.items() for name in w.requests_by_adapter}
         in_use = sum(
-            (runner.life, name) in used for runner in desk.runners.values() for name in runner.slots
+            (runner.life, name) in used
+            for runner in scheduler.runners.values()
+            for name in runner.slots
         )
         log(
             _LOGGER,
             events.Seats(
-                cell=duty.service.name,
-                runners=len(desk.runners),
-                known=sum(runner.is_known() for runner in desk.runners.values()),
-                places=sum(runner.slot_count for runner in desk.runners.values()),
-                taken=len(seats),
+                cell=lease.service.name,
+                runners=len(scheduler.runners),
+                known=sum(runner.is_known() for runner in scheduler.runners.values()),
+                places=sum(runner.slot_count for runner in scheduler.runners.values()),
+                taken=len(slots),
                 in_use=in_use,
-                loading=sum(seat.state is SlotState.LOADING for seat in seats),
-                dropping=sum(seat.state is SlotState.UNLOADING for seat in seats),
-                doubtful=sum(r.unconfirmed_order is not None for r in desk.runners.values()),
-                waiting=len(desk.queued_requests),
+                loading=sum(slot.state is SlotState.LOADING for slot in slots),
+                dropping=sum(slot.state is SlotState.UNLOADING for slot in slots),
+                doubtful=sum(
+                    runner.unconfirmed_order is not None for runner in scheduler.runners.values()
+                ),
+                waiting=len(scheduler.queued_requests),
                 oldest_ms=now_ms
-                - min((w.first_attempt_ms for w in desk.queued_requests), default=now_ms),
-                requests=sum(w.requests for sid, w in work.items() if sid in desk.runners),
+                - min((w.first_attempt_ms for w in scheduler.queued_requests), default=now_ms),
+                requests=sum(w.requests for life, w in work.items() if life in scheduler.runners),
                 unread=sum(
-                    w.pending_prefill_tokens for sid, w in work.items() if sid in desk.runners
+                    w.pending_prefill_tokens
+                    for life, w in work.items()
+                    if life in scheduler.runners
                 ),
-                loads=desk.load_count,
-                cold=desk.cold_load_count,
-                copies=desk.replica_load_count,
-                fetch_limit=desk.load_limit.limit,
-                fetch_ms=desk.load_limit.full_speed_ms,
+                loads=scheduler.load_count,
+                cold=scheduler.cold_load_count,
+                copies=scheduler.replica_load_count,
+                fetch_limit=scheduler.load_limit.limit,
+                fetch_ms=scheduler.load_limit.full_speed_ms,
             ),
         )
 
     def _fetch_runner_report(
-        self, duty: CellLease, desk: AdapterScheduler, life: ServerLife
+        self, lease: CellLease, scheduler: AdapterScheduler, life: ServerLife
     ) -> None:
         server = self._daemon.cluster_state.server_registry.server_by_life.get(life)
         report = (
             self._runner_control.fetch_report(life, server.address) if server is not None else None
         )
         if isinstance(report, Gone):
-            self._handle_replaced_runner(desk, life)
+            self._handle_replaced_runner(scheduler, life)
             return
         now_ms = self._daemon.clock.now_ms()
-        book = self._daemon.cluster_state.server_registry
-        if report is not None and not book.confirm_life(report.life, report.models, now_ms):
-            # Another life speaks: the one that is known, or one before it, is no more.
+        registry = self._daemon.cluster_state.server_registry
+        if report is not None and not registry.confirm_life(report.life, report.models, now_ms):
+            # Another life of the server answered than the known one: the known one has ended, or
+            # the answer is from an earlier one. Either way the report says nothing of the known
+            # life.
             report = None
-        desk.handle_report(life, report, now_ms)
-        duty.last_queue_check_ms = 0
+        scheduler.handle_report(life, report, now_ms)
+        lease.last_queue_check_ms = 0
         self.wake_planner()
 
-    def _send_order(self, duty: CellLease, desk: AdapterScheduler, step: OrderStep) -> None:
+    def _send_order(self, lease: CellLease, scheduler: AdapterScheduler, step: OrderStep) -> None:
         daemon = self._daemon
         server = daemon.cluster_state.server_registry.server_by_life.get(step.life)
-        if server is None or desk is not duty.scheduler:
+        if server is None or scheduler is not lease.scheduler:
             return
-        # Looked at once more right before the send: the duty may have lapsed since the plan.
-        if not duty.lease_loop.holds(daemon.clock.now_ms()):
-            desk.runners[step.life].has_call_in_progress = False
+        # Checked again right before sending: the lease may have expired since the plan.
+        if not lease.lease_loop.holds(daemon.clock.now_ms()):
+            scheduler.runners[step.life].has_call_in_progress = False
             return
         order = Order(
             step.operation,
@@ -446,12 +457,12 @@
             step.version,
             step.sequence,
             daemon.settings.name,
-            duty.epoch,
+            lease.epoch,
         )
         sent_ms = daemon.clock.now_ms()
         answer = self._runner_control.send_order(step.life, server.address, order)
         if isinstance(answer, Gone):
-            self._handle_replaced_runner(desk, step.life)
+            self._handle_replaced_runner(scheduler, step.life)
         now_ms = daemon.clock.now_ms()
         daemon.metrics.orders.labels(step.operation.value, type(answer).__name__.lower()).inc()
         daemon.metrics.order_time.observe((now_ms - sent_ms) / 1000)
@@ -464,36 +475,38 @@
                     name=step.name,
                     version=step.version,
                     sequence=step.sequence,
-                    fence=duty.epoch,
+                    fence=lease.epoch,
                     answer=type(answer).__name__,
                     cause=getattr(answer, "reason", None),
                 ),
             )
-        if not desk.handle_order_result(step, answer, now_ms) and isinstance(answer, Superseded):
-            duty.lease_loop.handle_superseded()
-            duty.close_scheduler()
+        if not scheduler.handle_order_result(step, answer, now_ms) and isinstance(
+            answer, Superseded
+        ):
+            lease.lease_loop.handle_superseded()
+            lease.close_scheduler()
         elif isinstance(answer, Accepted) and answer.complete:
-            desk.process_queue_for_adapter(step.name, now_ms, self._total_work())
+            scheduler.process_queue_for_adapter(step.name, now_ms, self._total_work())
         self.wake_planner()
 
-    def _handle_replaced_runner(self, desk: AdapterScheduler, life: ServerLife) -> None:
-        """Take that another server answers at a runner's address."""
-        beliefs = self._daemon.cluster_state
-        beliefs.server_registry.mark_leaving(
+    def _handle_replaced_runner(self, scheduler: AdapterScheduler, life: ServerLife) -> None:
+        """Record that another server answers at a runner's address."""
+        cluster_state = self._daemon.cluster_state
+        cluster_state.server_registry.mark_leaving(
             life, self._daemon.clock.now_ms(), "another server at its address"
         )
-        desk.remove_runner(life)
+        scheduler.remove_runner(life)
 
     def _apply_peer_residency(self, now_ms: int) -> None:
-        """Take what the holders of other cells told of their runners."""
-        for cell, duty in self._lease_by_cell.items():
-            if duty.scheduler is not None:
+        """Apply what the holders of other cells report of their runners."""
+        for cell, lease in self._lease_by_cell.items():
+            if lease.scheduler is not None:
                 continue
-            told = self._daemon.view.residency(cell, now_ms)
-            if told is not None:
-                self.residency.apply_peer_report(cell, told)
+            report = self._daemon.view.residency(cell, now_ms)
+            if report is not None:
+                self.residency.apply_peer_report(cell, report)
 
     def _total_work(self) -> dict[ServerLife, ServerWork]:
-        """Return what all nodes have in progress by server, to be read at once."""
-        others = self._daemon.view.work_by_server(self._daemon.clock.now_ms())
-        return sum_work(others, self._daemon.in_flight.work_by_server)
+        """Return what all nodes have in progress, by server; the next heartbeat changes it."""
+        peer_work = self._daemon.view.work_by_server(self._daemon.clock.now_ms())
+        return sum_work(peer_work, self._daemon.in_flight.work_by_server)
--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -55,14 +55,15 @@
 
 _LOGGER = logging.getLogger(__name__)
 PEER_SNAPSHOT_DELAY_MS = 400
-"""How long a node that starts waits for the store before it asks other nodes: some ten answers."""
+"""How long a node that starts waits for the store before it asks its peers: the time of some ten
+answers."""
 
 MAINTENANCE_INTERVAL_MS = 500
-"""How often resting connections and doubtful servers are looked through."""
+"""How often idle connections and unconfirmed servers are checked."""
 
 
 class PlatformIntegration(Protocol):
-    """What a deployment's translation provides."""
+    """What the integration with a deployment's platform provides."""
 
     dialect: Dialect
     decoders: Decoders
@@ -74,7 +75,7 @@
         """Return a change feed with a connection of its own."""
 
     def runners(self) -> RunnerControl:
-        """Return the way to the runners."""
+        """Return the client that reads reports of runners and sends them orders."""
 
     def store_calls(self) -> int:
         """Return how many calls to the store were made."""
@@ -85,13 +86,13 @@
     def directory(self, choose: Callable[[str | None], tuple[list[str], float]]) -> Handler:
         """Return the handler of the directory address.
 
-        :param choose: takes the data centre that a caller says it is in.
+        :param choose: chooses addresses by the data centre that a caller says it is in.
         """
 
 
 @attrs.define(slots=True)
 class Ports:
-    """The addresses at which a process listens."""
+    """The ports on which a process listens."""
 
     callers: Port
     ready: Port
@@ -100,12 +101,12 @@
     metrics: Port
 
     def all(self) -> tuple[Port, ...]:
-        """Return all ports; callers are taken last, when everything else answers."""
+        """Return all ports; callers are accepted last, when everything else answers."""
         return (self.ready, self.directory, self.peers, self.metrics, self.callers)
 
 
 class EntryDaemon:
-    """One entry process: its beliefs, its ports and its loops."""
+    """One entry process: its cluster state, its ports and its background tasks."""
 
     def __init__(
         self,
@@ -185,15 +186,15 @@
         self._register_gauges(integration)
 
     def run(self) -> int:
-        """Serve until the word to stop; return the process's exit status."""
+        """Serve until told to stop; return the process's exit status."""
         gevent.signal_handler(signal.SIGTERM, self._stop_requested.set)
         gevent.signal_handler(signal.SIGINT, self._stop_requested.set)
-        # Without a handler the word that the settings have changed would end the process.
+        # Without a handler the signal that the settings have changed would end the process.
         gevent.signal_handler(signal.SIGHUP, self.reload)
         if not self.start():
             return 1
-        # Start-up objects live as long as the process; looking through them again and again costs
-        # processor time in the middle of requests.
+        # Objects created at the start live as long as the process: scanning them in each garbage
+        # collection would cost processor time in the middle of requests.
         gc.collect()
         gc.freeze()
         self._stop_requested.wait()
@@ -201,7 +202,7 @@
         return 0
 
     def start(self) -> bool:
-        """Listen and begin all loops; return whether all addresses could be bound."""
+        """Listen and start all background tasks; return whether all addresses could be bound."""
         for port in self.ports.all():
             if not port.start():
                 return False
@@ -229,27 +230,27 @@
         return True
 
     def reload(self) -> None:
-        """Take changed settings; unusable ones are logged and the last good ones stay in force."""
-        changed = self._reread_settings()
-        if changed is None or changed == self.settings:
+        """Apply changed settings; unusable ones are logged, the last valid ones stay in force."""
+        new_settings = self._reread_settings()
+        if new_settings is None or new_settings == self.settings:
             return
-        if isinstance(changed, SettingError):
-            log(_LOGGER, events.UnusableSettings(cause=changed.line()))
+        if isinstance(new_settings, SettingError):
+            log(_LOGGER, events.UnusableSettings(cause=new_settings.line()))
             return
-        if changed.immutable_settings() != self.settings.immutable_settings():
+        if new_settings.immutable_settings() != self.settings.immutable_settings():
             log(_LOGGER, events.UnusableSettings(cause="addresses changed"))
             return
-        self.settings = changed
-        self.view.cores = changed.cores
-        bounds = changed.bounds
+        self.settings = new_settings
+        self.view.cores = new_settings.cores
+        bounds = new_settings.bounds
         self.retry_budget.allowance = RetryAllowance(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window_ms
         )
         self.cell_leases.update_bounds(bounds)
-        log(_LOGGER, events.Reloaded(seeds=",".join(changed.seeds)))
+        log(_LOGGER, events.Reloaded(seeds=",".join(new_settings.seeds)))
 
     def is_ready(self) -> bool:
-        """Tell whether callers should come here: a node that knows no routes refuses all."""
+        """Return whether callers should be sent here: a node without routes refuses them all."""
         return (
             not self.is_leaving
             and self.cluster_state.route_table is not None
@@ -258,7 +259,7 @@
         )
 
     def heartbeat(self) -> Heartbeat:
-        """Return this node's word about itself."""
+        """Return this node's heartbeat."""
         self._heartbeat_sequence += 1
         claims = self.cell_leases.claims()
         self.view.record_sent(self._heartbeat_sequence, claims, self.clock.now_ms())
@@ -287,7 +288,7 @@
         )
 
     def _work_delta(self) -> WorkDelta:
-        """Return what has changed of this node's work since this was last asked."""
+        """Return what has changed in this node's work since the last call."""
         self._heartbeat_sequence += 1
         changed = self.in_flight.pop_changed()
         return WorkDelta(self.settings.name, self.boot_id, self._heartbeat_sequence, changed)
@@ -300,56 +301,60 @@
         if not self.quarantine_manager.apply_row(row):
             self.cell_leases.handle_row(row)
 
-    def _handle_heartbeat(self, report: Heartbeat) -> None:
-        self.store_follower.handle_heartbeat(report)
+    def _handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        self.store_follower.handle_heartbeat(heartbeat)
         self.quarantine_manager.apply_announced(
-            report.name, report.crashes, report.quarantined_fingerprints
+            heartbeat.name, heartbeat.crashes, heartbeat.quarantined_fingerprints
         )
-        if self.cluster_state.handle_heartbeat(report) and self.store_watches is not None:
+        if self.cluster_state.handle_heartbeat(heartbeat) and self.store_watches is not None:
             self.store_watches.servers.poke()
 
     def _open_feed(self) -> ChangeFeed:
         return self._integration.feed()
 
     def _announce_store_changes(self) -> None:
-        """Tell the others what the store has just told this node."""
+        """Announce to the peers what this node has just read from the store."""
         self.cell_leases.wake_planner()
         self.gossip.send_round()
 
-    def _register_gauges(self, outside: PlatformIntegration) -> None:
-        def of(name: str, help_text: str, read: Callable[[], float]) -> None:
+    def _register_gauges(self, integration: PlatformIntegration) -> None:
+        def gauge(name: str, help_text: str, read: Callable[[], float]) -> None:
             self.metrics.add_gauge(name, help_text, read)
 
-        beliefs, now_ms = self.cluster_state, self.clock.now_ms
-        of("ready", "Whether callers should come here.", lambda: float(self.is_ready()))
-        of("config_version", "Configuration in force.", lambda: self.config_version())
-        of("servers", "Backend servers known.", lambda: len(beliefs.server_registry.server_by_life))
-        of("peers", "Other nodes heard.", lambda: len(self.view.heartbeats(now_ms())))
-        of(
+        cluster_state, now_ms = self.cluster_state, self.clock.now_ms
+        gauge("ready", "Whether callers should come here.", lambda: float(self.is_ready()))
+        gauge("config_version", "Configuration in force.", lambda: self.config_version())
+        gauge(
+            "servers",
+            "Backend servers known.",
+            lambda: len(cluster_state.server_registry.server_by_life),
+        )
+        gauge("peers", "Other nodes heard.", lambda: len(self.view.heartbeats(now_ms())))
+        gauge(
             "callers_named",
             "Nodes last named to callers, of all data centres.",
             lambda: sum(self.address_directory.advertised_counts().values()),
         )
-        of(
+        gauge(
             "quarantined",
             "Requests that reach no server, since servers ended under them.",
             lambda: len(self.quarantine_manager.suspects.quarantined()),
         )
-        of("duties", "Duties held.", lambda: len(self.cell_leases.claims()))
-        of("in_progress", "Requests in progress.", lambda: self.ports.callers.active)
-        of("store_calls", "Calls to the store since the start.", outside.store_calls)
+        gauge("duties", "Duties held.", lambda: len(self.cell_leases.claims()))
+        gauge("in_progress", "Requests in progress.", lambda: self.ports.callers.active)
+        gauge("store_calls", "Calls to the store since the start.", integration.store_calls)
         for kind in ("operator", "servers", "own"):
-            of(
+            gauge(
                 f"{kind}_answer_age_seconds",
                 f"Since the store last answered a question about rows of the {kind}; -1: never.",
                 lambda kind=kind: self._answer_age_s(kind),
             )
-        of(
+        gauge(
             "connections_opened",
             "Connections to servers opened.",
             lambda: self.connection_pools.opened,
         )
-        of("report_bytes", "Bytes of reports sent.", lambda: self.gossip.sent_bytes)
+        gauge("report_bytes", "Bytes of reports sent.", lambda: self.gossip.sent_bytes)
 
     def _answer_age_s(self, kind: str) -> float:
         age_ms = self._answer_age_ms(kind)
@@ -368,7 +373,7 @@
         )
 
     def _handle_adapter_use_change(self) -> None:
-        """Tell the holders soon: a place whose use has ended is needed by others."""
+        """Notify the lease holders soon: others need a slot that is no longer in use."""
         if self.cell_leases.holds_all():
             self.cell_leases.wake_planner()
         else:
@@ -386,17 +391,17 @@
             settings.cores,
         )
 
-    def _create_ports(self, outside: PlatformIntegration) -> Ports:
-        self._integration = outside
+    def _create_ports(self, integration: PlatformIntegration) -> Ports:
+        self._integration = integration
         settings = self.settings
-        book, conditions = self.cluster_state.server_registry, self.health_tracker
-        plain = PlainServerChooser(
-            book, self.in_flight, self.view, conditions, self.rng, settings.data_centre
+        registry, health_tracker = self.cluster_state.server_registry, self.health_tracker
+        plain_chooser = PlainServerChooser(
+            registry, self.in_flight, self.view, health_tracker, self.rng, settings.data_centre
         )
-        engines = RunnerChooser(
-            book,
+        engine_chooser = RunnerChooser(
+            registry,
             self.backlog,
-            conditions,
+            health_tracker,
             PlacementClient(self),
             self.clock,
             self.rng,
@@ -404,15 +409,15 @@
         )
         self.gateway = Gateway(
             self.clock,
-            outside.dialect,
+            integration.dialect,
             lambda: self.cluster_state.route_table,
             self.connection_pools,
             self.in_flight,
             self.backlog,
             self.shared_retries,
             self.quarantine_manager,
-            plain,
-            engines,
+            plain_chooser,
+            engine_chooser,
             self.rng,
             RequestLog(self.clock, self.metrics, lambda: self._answer_age_ms("servers")),
         )
@@ -428,28 +433,33 @@
         peer_api = PeerApi(
             self.cluster_state, self.store_follower.snapshot, self.cell_leases.answer_slot_request
         )
-        usual = MessageLimits
+        default_limits = MessageLimits
         return Ports(
             callers=Port(
                 settings.callers_address, self.gateway.handle, self._message_limits, self.clock
             ),
-            ready=Port(settings.ready_address, outside.readiness(self.is_ready), usual, self.clock),
+            ready=Port(
+                settings.ready_address,
+                integration.readiness(self.is_ready),
+                default_limits,
+                self.clock,
+            ),
             directory=Port(
                 settings.directory_address,
-                outside.directory(self.address_directory.choose),
-                usual,
+                integration.directory(self.address_directory.choose),
+                default_limits,
                 self.clock,
             ),
-            peers=Port(settings.peer_address, peer_api.handle, usual, self.clock),
-            metrics=Port(settings.metrics_address, self.metrics.handle, usual, self.clock),
+            peers=Port(settings.peer_address, peer_api.handle, default_limits, self.clock),
+            metrics=Port(settings.metrics_address, self.metrics.handle, default_limits, self.clock),
         )
 
     def _message_limits(self) -> MessageLimits:
-        table = self.cluster_state.route_table
-        return table.limits if table is not None else MessageLimits()
+        route_table = self.cluster_state.route_table
+        return route_table.limits if route_table is not None else MessageLimits()
 
     def _fetch_snapshot_loop(self) -> None:
-        """Learn what the others know when the store does not answer at the start."""
+        """Fetch a peer's snapshot if the store does not answer at the start."""
         self.tasks.sleep(PEER_SNAPSHOT_DELAY_MS)
         while not self.is_ready() and not self.is_leaving:
             self.peer_client.fetch_snapshot(
@@ -460,7 +470,7 @@
     def _maintenance_loop(self) -> None:
         while True:
             self.tasks.sleep(MAINTENANCE_INTERVAL_MS)
-            # The file may change without a signal.
+            # The settings file may change without a signal.
             self.reload()
             self.connection_pools.sweep()
             self.store_watches.servers.look_again()
@@ -471,10 +481,10 @@
                 self.backlog.forget(life)
 
     def _fetch_configuration_loop(self) -> None:
-        """Fetch newer configurations from other nodes.
+        """Fetch newer configurations from peers.
 
-        Beside everything else: nodes that have fallen silent hold it up for a second each, and
-        settings that had changed were read 4 s late.
+        This is a task of its own: each unresponsive peer delays it by a second, and as a part of
+        the maintenance loop it delayed the reading of changed settings by 4 s.
         """
         while True:
             self.tasks.sleep(MAINTENANCE_INTERVAL_MS)
--- a/monsoonflow/entry/lease_loop.py
+++ b/monsoonflow/entry/lease_loop.py
@@ -1,4 +1,4 @@
-"""Claims, renews and gives up the duty of a cell in the store."""
+"""Claims, renews and releases the lease of a cell in the store."""
 
 from __future__ import annotations
 
@@ -33,36 +33,45 @@
 _LOGGER = logging.getLogger(__name__)
 CELL_LEASE_PREFIX: Final = "duty/"
 RENEW_SHARE: Final = 0.4
-"""A lease is renewed after this share: two renewals may be lost before it lapses."""
+"""A lease is renewed after this share of its duration: two renewals may be lost before it
+expires."""
 
 UNFENCED_LEASE_SHARE: Final = 0.4
-"""Share of a deployment's lease that a holder before unfenced runners takes at a time."""
+"""Share of the deployment's lease duration that a lease lasts where runners check no fencing
+numbers."""
 
 READ_ROW_AFTER_MS: Final = 500
 READ_ROW_INTERVAL_MS: Final = 250
-"""A holder unheard for so long makes its claimants read the duty's row, and again as often."""
+"""Without a heartbeat of the holder for ``READ_ROW_AFTER_MS``, its claim candidates read the row of
+the cell lease, and again every ``READ_ROW_INTERVAL_MS``."""
 
 MARGIN_SHARE: Final = 0.1
-"""Share of the lease that the holder gives up early and claimants wait on top."""
+"""Share of the lease by which the holder stops early and claim candidates wait longer."""
 
 HOLDER_TIMEOUT_MS: Final = 700
-"""A holder unheard for so long is replaced where runners check fencing numbers: three reports in a
-row were lost or never sent."""
+"""A holder without heartbeats for this long is replaced where runners check fencing numbers: three
+heartbeats in a row were lost or never sent."""
 
 FIRST_HEARTBEAT_TIMEOUT_MS: Final = 2_000
-"""How long a node that has started waits for a holder's first word: processes that start together
-are up within a second of each other, a slow VM within two."""
+"""How long a node that has started waits for a holder's first heartbeat: processes that start
+together are up within a second of each other, on a slow VM within two."""
 
 RANK_DELAY_MS: Final = 120
-"""Each node further down in the order of candidates waits so much longer before it claims: one
+"""Each node further down in the order of candidates waits this much longer before it claims: one
 claims, the others need not."""
 
 
 class CellLeaseLoop:
-    """One node's part in the duty of a cell.
+    """One node's part in the lease of a cell.
 
-    :param may_claim: tells whether this node wants duties now.
-    :param steady: tells whether this process has not just been frozen.
+    Each lease has an epoch, the fencing token of its holder's orders: it is higher than all before.
+
+    :param boot: the id of this run of the node's process.
+    :param lease_ms: as set for the deployment.
+    :param fenced: whether runners refuse orders with an old fencing number.
+    :param may_claim: returns whether this node wants cell leases now.
+    :param is_steady: returns whether this process runs and has not just been suspended.
+    :param on_won: called when this node has won the lease.
     """
 
     def __init__(
@@ -108,7 +117,7 @@
         self._is_standby_lease = False
 
     def update_bounds(self, lease_ms: int, fenced: bool) -> None:
-        """Take changed bounds."""
+        """Apply changed bounds."""
         timing = _lease_timing(lease_ms, fenced)
         self._fenced = fenced
         self._renew_every_ms = int(timing.duration_ms * RENEW_SHARE)
@@ -116,32 +125,33 @@
         self._lease_watch.update_settings(timing, fenced, lease_ms)
 
     def holds(self, now_ms: int) -> bool:
-        """Tell whether this node may send orders at this moment."""
+        """Return whether this node may send orders at this moment."""
         if self.held_lease.row is None or not self._is_steady():
             return False
-        newest = self._view.claim_of(self.cell)
-        heard = [
-            age
-            for report in self._view.heartbeats(now_ms)
-            if (age := self._view.heartbeat_age_ms(report.name, now_ms)) is not None
+        newest_claim = self._view.claim_of(self.cell)
+        heartbeat_ages_ms = [
+            age_ms
+            for heartbeat in self._view.heartbeats(now_ms)
+            if (age_ms := self._view.heartbeat_age_ms(heartbeat.name, now_ms)) is not None
         ]
-        alone = self._view.node_count() == 1
-        peers_heard_ms = None if alone else min(heard, default=1_000_000)
+        is_alone = self._view.node_count() == 1
+        last_heartbeat_age_ms = None if is_alone else min(heartbeat_ages_ms, default=1_000_000)
         overdue = now_ms - self._renewed_ms > 2 * self._renew_every_ms
         store_lost = self.store_lost or overdue or not self.store_reachable
         return self.held_lease.may_order(
             now_ms,
-            newest.epoch if newest else 0,
+            newest_claim.epoch if newest_claim else 0,
             store_lost,
-            peers_heard_ms,
+            last_heartbeat_age_ms,
             self._promised_until_ms(),
         )
 
     def _promised_until_ms(self) -> int:
-        """Return until when no other node will claim, by what the claimants say they have heard.
+        """Return until when no other node claims, by what the claim candidates acknowledged.
 
-        Counted from the sending of what a claimant has heard: it counts from the hearing, which was
-        later. Claimants of a renewal without answer count as well: it may have been written.
+        The time counts from the sending of the heartbeat that a candidate says it has received: the
+        candidate counts from receiving it, which was later. Candidates of a renewal without an
+        answer count as well: it may have been written.
         """
         if self._fenced or self.held_lease.row is None:
             return 0
@@ -154,9 +164,9 @@
         return until_ms - int(PROMISE_MS * MARGIN_SHARE)
 
     def current_claim(self) -> CellLeaseClaim | None:
-        """Return this node's claim, for the others.
+        """Return this node's claim, to be sent to peers.
 
-        A holder that may not order must not seem to be one: the others would wait for it.
+        A holder that may not send orders must not look like one: the peers would wait for it.
         """
         row = self.held_lease.row
         if row is None or (not self._fenced and not self.holds(self._clock.now_ms())):
@@ -164,34 +174,40 @@
         return CellLeaseClaim(self.cell, row.holder, row.epoch, row.standbys, row.counter)
 
     def handle_row(self, row: ChangedRow | Row) -> None:
-        """Take the duty's row as the store holds it."""
+        """Apply the row of the cell lease as the store holds it."""
         now_ms = self._clock.now_ms()
         body = orjson.dumps(row.value) if isinstance(row, Row) else row.body
-        duty = decode_cell_lease(self.cell, body)
-        heard = self._view.received_claim(self.cell)
-        told = duty is not None and heard is not None
-        same = told and (heard.epoch, heard.counter) == (duty.epoch, duty.counter)
+        lease_row = decode_cell_lease(self.cell, body)
+        received_claim = self._view.received_claim(self.cell)
+        is_announced = lease_row is not None and received_claim is not None
+        is_same_row = is_announced and (received_claim.epoch, received_claim.counter) == (
+            lease_row.epoch,
+            lease_row.counter,
+        )
         self._lease_watch.record_row(
-            duty, row.version, now_ms, heard.first_received_ms if same else None
+            lease_row,
+            row.version,
+            now_ms,
+            received_claim.first_received_ms if is_same_row else None,
         )
-        if duty is None:
+        if lease_row is None:
             return
-        if not duty.is_released:
+        if not lease_row.is_released:
             self._view.apply_claim(
-                CellLeaseClaim(self.cell, duty.holder, duty.epoch, duty.standbys)
+                CellLeaseClaim(self.cell, lease_row.holder, lease_row.epoch, lease_row.standbys)
             )
-        held = self.held_lease.row
-        if held is not None and duty.epoch > held.epoch:
-            self._handle_lost_lease(f"taken by {duty.holder}")
+        held_row = self.held_lease.row
+        if held_row is not None and lease_row.epoch > held_row.epoch:
+            self._handle_lost_lease(f"claimed by {lease_row.holder}")
 
     def step(self) -> None:
-        """Do what is due: renew, or claim what is free."""
+        """Do what is due: renew the lease, or claim it if it is free."""
         now_ms = self._clock.now_ms()
         self._track_newest_epoch(now_ms)
         if self.held_lease.row is not None:
-            newest = self._view.claim_of(self.cell)
-            if newest is not None and newest.epoch > self.held_lease.row.epoch:
-                self._handle_lost_lease(f"taken by {newest.holder}")
+            newest_claim = self._view.claim_of(self.cell)
+            if newest_claim is not None and newest_claim.epoch > self.held_lease.row.epoch:
+                self._handle_lost_lease(f"claimed by {newest_claim.holder}")
             elif now_ms - self._renewed_ms >= self._renew_every_ms:
                 self._renew(now_ms)
             return
@@ -210,54 +226,60 @@
             self._claim(now_ms)
 
     def drop_lease(self) -> tuple[CellLeaseRow, int] | None:
-        """Give no more orders; return what is to be released in the store."""
+        """Stop sending orders; return the row to be released in the store, and its version."""
         row, version = self.held_lease.row, self.held_lease.row_version
         self.held_lease.drop()
         return None if row is None else (row, version)
 
     def release_row(self, row: CellLeaseRow, version: int) -> None:
-        """Write that the duty is free, so that another node takes it at once."""
+        """Write that the lease is free, so that another node claims it at once."""
         released = attrs.evolve(row, counter=row.counter + 1, is_released=True)
         result = self._commit_row(released, version)
         if isinstance(result, Conflict):
-            # A renewal was on its way; left as it is, the row would keep all others waiting.
-            now = self._table.get(CELL_LEASE_PREFIX + self.cell)
-            if isinstance(now, Row) and now.value.get("boot") == self._boot:
-                result = self._commit_row(released, now.version)
+            # A renewal was in progress; left as it is, the row would keep all other nodes waiting.
+            current = self._table.get(CELL_LEASE_PREFIX + self.cell)
+            if isinstance(current, Row) and current.value.get("boot") == self._boot:
+                result = self._commit_row(released, current.version)
         log(
             _LOGGER,
             events.DutyReleased(cell=self.cell, epoch=row.epoch, result=type(result).__name__),
         )
 
     def _continue_as_standby(self, now_ms: int) -> None:
-        """Go on in a silent holder's place while the store can't be asked.
+        """Continue in place of a silent holder while the store is unreachable.
 
-        Each heir has an epoch of its own, set down in the store before: no two nodes can ever use
-        the same one, and runners that check them refuse the holder and the heirs before. Only where
-        they do may an heir act.
+        Each standby has an epoch of its own that was written to the store before: no two nodes can
+        ever use the same one, and runners that check epochs refuse the holder and the standbys
+        before this one. Only where runners do so may a standby act.
         """
-        newest = self._view.claim_of(self.cell)
-        if newest is None or not self._fenced:
+        newest_claim = self._view.claim_of(self.cell)
+        if newest_claim is None or not self._fenced:
             return
-        # The newest claim may have been heard from its holder only: its row is read seconds later.
-        row = CellLeaseRow(self.cell, newest.holder, "", newest.epoch, 0, newest.standbys)
-        inherited = row.taken_over_by(self._node, self._boot)
-        if inherited is None or not self._is_silent(row.holder, now_ms):
+        # The newest claim may be known from the holder's heartbeat only: its row is read seconds
+        # later.
+        row = CellLeaseRow(
+            self.cell, newest_claim.holder, "", newest_claim.epoch, 0, newest_claim.standbys
+        )
+        standby_row = row.taken_over_by(self._node, self._boot)
+        if standby_row is None or not self._is_silent(row.holder, now_ms):
             return
-        before = row.standbys[: row.standbys.index(self._node)]
-        if any(not self._is_silent(name, now_ms) for name in before):
+        earlier_standbys = row.standbys[: row.standbys.index(self._node)]
+        if any(not self._is_silent(name, now_ms) for name in earlier_standbys):
             return
-        self.held_lease.take_over(inherited, self._lease_watch.row_version)
+        self.held_lease.take_over(standby_row, self._lease_watch.row_version)
         self.store_lost = True
         self._is_standby_lease = True
         self._renewed_ms = now_ms
-        self._view.apply_claim(CellLeaseClaim(self.cell, self._node, inherited.epoch))
-        log(_LOGGER, events.DutyInherited(cell=self.cell, epoch=inherited.epoch, before=row.holder))
+        self._view.apply_claim(CellLeaseClaim(self.cell, self._node, standby_row.epoch))
+        log(
+            _LOGGER,
+            events.DutyInherited(cell=self.cell, epoch=standby_row.epoch, before=row.holder),
+        )
 
     def _should_read_row(self, now_ms: int) -> bool:
-        """Tell whether the row is to be read at once: the holder seems to be gone or has released.
+        """Return whether to read the row now: the holder seems to have failed or released it.
 
-        The row is followed at leisure, seconds late; a claim needs its newest version.
+        The row is otherwise followed with a delay of seconds; a claim needs its newest version.
         """
         row = self._lease_watch.row
         if (
@@ -269,142 +291,161 @@
         may_claim_first = not self._fenced and self._node in row.standbys
         if not may_claim_first and not self._is_row_outdated():
             return False
-        heard = self._view.received_claim(self.cell)
-        if heard is None or self._has_released_to_stop(row.holder):
+        received_claim = self._view.received_claim(self.cell)
+        if received_claim is None or self._has_released_to_stop(row.holder):
             return True
-        newest = self._view.claim_of(self.cell)
-        if newest is not None and self._has_released_to_stop(newest.holder):
+        newest_claim = self._view.claim_of(self.cell)
+        if newest_claim is not None and self._has_released_to_stop(newest_claim.holder):
             return True
         silent_ms = self._view.holder_silence_timeout_ms(READ_ROW_AFTER_MS)
-        return now_ms - heard.last_received_ms > silent_ms or self._lease_watch.has_lapsed(
-            now_ms, heard.first_received_ms
+        return now_ms - received_claim.last_received_ms > silent_ms or self._lease_watch.has_lapsed(
+            now_ms, received_claim.first_received_ms
         )
 
     def _has_released_to_stop(self, name: str) -> bool:
-        """Tell whether a node says that it stops and holds no duty."""
-        report = self._view.heartbeat_of(name)
-        return report is not None and report.is_leaving and not report.claims
+        """Return whether a node reports that it is stopping and holds no cell lease."""
+        heartbeat = self._view.heartbeat_of(name)
+        return heartbeat is not None and heartbeat.is_leaving and not heartbeat.claims
 
     def _is_row_outdated(self) -> bool:
-        """Tell whether the holder has told a newer row than was read, and none was read since.
+        """Return whether the holder announced a newer row than was read, and none was read since.
 
-        The store would refuse a claim on the row that was read. One that was read since and is
-        still older counts: an heir may hold the duty by a row that it could not write.
+        The store would refuse a claim based on the row that was read. A row that was read since and
+        is still older counts as current: a standby may hold the lease by a row that it could not
+        write.
         """
-        row, heard = self._lease_watch.row, self._view.received_claim(self.cell)
-        if row is None or heard is None or self._last_read_ms > heard.first_received_ms:
+        row, received_claim = self._lease_watch.row, self._view.received_claim(self.cell)
+        if (
+            row is None
+            or received_claim is None
+            or self._last_read_ms > received_claim.first_received_ms
+        ):
             return False
-        return (heard.epoch, heard.counter) > (row.epoch, row.counter)
+        return (received_claim.epoch, received_claim.counter) > (row.epoch, row.counter)
 
     def _track_newest_epoch(self, now_ms: int) -> None:
-        newest = self._view.claim_of(self.cell)
-        if newest is not None and newest.epoch != self._newest_epoch:
-            self._newest_epoch = newest.epoch
+        newest_claim = self._view.claim_of(self.cell)
+        if newest_claim is not None and newest_claim.epoch != self._newest_epoch:
+            self._newest_epoch = newest_claim.epoch
             self._newest_epoch_since_ms = now_ms
 
     def _is_silent(self, name: str, now_ms: int) -> bool:
-        """Tell whether a node is unheard, or says that it stops and has let its duties go."""
+        """Return whether a node sends no heartbeats, or is stopping and has released the lease."""
         if not self._fenced:
-            heard = self._view.received_claim(self.cell)
-            heard_ms = max(self._started_ms, heard.last_received_ms if heard is not None else 0)
-            return now_ms - heard_ms > PROMISE_MS
-        report = self._view.heartbeat_of(name)
-        if report is None:
-            # Never heard: it may just not have spoken yet, since both have started together.
+            received_claim = self._view.received_claim(self.cell)
+            last_claim_ms = max(
+                self._started_ms,
+                received_claim.last_received_ms if received_claim is not None else 0,
+            )
+            return now_ms - last_claim_ms > PROMISE_MS
+        heartbeat = self._view.heartbeat_of(name)
+        if heartbeat is None:
+            # No heartbeat was received yet: the node may just not have sent one, if both have
+            # started together.
             return now_ms - self._started_ms > FIRST_HEARTBEAT_TIMEOUT_MS
         silence_ms = self._view.holder_silence_timeout_ms(HOLDER_TIMEOUT_MS)
-        unheard = not self._view.is_alive(name, now_ms, silence_ms)
-        if unheard and not self._is_new_holder(name, now_ms, silence_ms):
+        is_unheard = not self._view.is_alive(name, now_ms, silence_ms)
+        if is_unheard and not self._is_new_holder(name, now_ms, silence_ms):
             return True
-        return report.is_leaving and all(claim.cell != self.cell for claim in report.claims)
+        return heartbeat.is_leaving and all(claim.cell != self.cell for claim in heartbeat.claims)
 
     def _is_new_holder(self, name: str, now_ms: int, silence_ms: int) -> bool:
-        """Tell whether a holder became known so lately that its silence means nothing yet.
+        """Return whether a holder became known so recently that its silence means nothing yet.
 
-        In a large fleet a node without duties is heard every other second. By what was heard of it
-        before, a new holder would be replaced at once, and its successor as well.
+        In a large fleet a node without cell leases sends a heartbeat every other second. Judged by
+        its earlier heartbeats, a new holder would be replaced at once, and its successor as well.
         """
-        newest = self._view.claim_of(self.cell)
-        if newest is None or newest.holder != name or self._view.has_refused(name):
+        newest_claim = self._view.claim_of(self.cell)
+        if newest_claim is None or newest_claim.holder != name or self._view.has_refused(name):
             return False
         return now_ms - self._newest_epoch_since_ms <= silence_ms
 
-    def _choose_standbys(self, now_ms: int, named: tuple[str, ...] = ()) -> tuple[str, ...]:
-        """Return the heirs of an epoch; those that were named keep their places.
+    def _choose_standbys(self, now_ms: int, previous: tuple[str, ...] = ()) -> tuple[str, ...]:
+        """Return the standbys of an epoch; those that were named before keep their positions.
 
-        A place stands for an epoch number. Were it given to another node, two nodes that have read
-        different lists could use the same number.
+        A position stands for an epoch number. If it were given to another node, two nodes that have
+        read different lists could use the same number.
         """
         names = [
-            report.name
-            for report in self._view.heartbeats(now_ms)
-            if report.is_ready and not report.is_leaving and report.name not in named
+            heartbeat.name
+            for heartbeat in self._view.heartbeats(now_ms)
+            if heartbeat.is_ready and not heartbeat.is_leaving and heartbeat.name not in previous
         ]
         if not self._fenced:
-            # No epoch number hangs on their places: the list follows who is there.
-            others = [report.name for report in self._view.heartbeats(now_ms) if report.is_ready]
-            return tuple(self._ranked(others))[:MAX_CANDIDATES]
-        return (*named, *self._ranked(names))[:MAX_STANDBYS]
+            # No epoch number depends on these positions: the list follows which nodes are present.
+            ready_names = [
+                heartbeat.name for heartbeat in self._view.heartbeats(now_ms) if heartbeat.is_ready
+            ]
+            return tuple(self._ranked(ready_names))[:MAX_CANDIDATES]
+        return (*previous, *self._ranked(names))[:MAX_STANDBYS]
 
     def _is_claimable(self, now_ms: int) -> bool:
         if self.store_reachable and self._is_row_outdated():
-            # Counted from a reading half a minute ago, each node of a large fleet would claim what
-            # is held and be refused every few seconds: a sixth of all calls to the store.
+            # Judged by a row that was read half a minute ago, each node of a large fleet would
+            # claim a lease that is held and be refused every few seconds: a sixth of all calls to
+            # the store.
             return False
         holder = self._lease_watch.row.holder if self._lease_watch.row is not None else ""
-        silent = holder != "" and self._is_silent(holder, now_ms)
-        heard = silent and self._hears_most_peers(holder, now_ms)
-        return self._lease_watch.may_claim(self._node, self._boot, now_ms, silent, heard)
+        holder_silent = holder != "" and self._is_silent(holder, now_ms)
+        peers_heard = holder_silent and self._hears_most_peers(holder, now_ms)
+        return self._lease_watch.may_claim(
+            self._node, self._boot, now_ms, holder_silent, peers_heard
+        )
 
     def _hears_most_peers(self, holder: str, now_ms: int) -> bool:
-        """Tell whether more than half of the nodes beside the holder are heard."""
-        others = [name for name in self._view.record_by_name if name not in (self._node, holder)]
-        heard = sum(self._view.is_alive(name, now_ms) for name in others)
-        return heard * 2 > len(others) or not others
+        """Return whether more than half of the nodes other than the holder send heartbeats."""
+        other_names = [
+            name for name in self._view.record_by_name if name not in (self._node, holder)
+        ]
+        heard_count = sum(self._view.is_alive(name, now_ms) for name in other_names)
+        return heard_count * 2 > len(other_names) or not other_names
 
     def _own_rank(self, now_ms: int) -> int:
-        """Return this node's place among those that may claim.
+        """Return this node's position among those that may claim.
 
-        A duty that a former life of this node held is nobody else's to claim until its lease is
-        over: after a restart of all nodes at once, waiting for its turn behind nodes that can't
-        claim left the fleet without a holder for up to 0.6 s.
+        A lease that an earlier run of this node's process held can't be claimed by others until it
+        expires: after a restart of all nodes at once, waiting for its turn behind nodes that can't
+        claim would leave the fleet without a holder for up to 0.6 s.
         """
         if self._lease_watch.row is not None and self._lease_watch.row.holder == self._node:
             return 0
         names = [
-            report.name
-            for report in self._view.heartbeats(now_ms)
-            if report.is_ready and not report.is_leaving and report.is_store_reachable
+            heartbeat.name
+            for heartbeat in self._view.heartbeats(now_ms)
+            if heartbeat.is_ready and not heartbeat.is_leaving and heartbeat.is_store_reachable
         ]
         return self._ranked([*names, *self._faster_unheard_nodes(now_ms), self._node]).index(
             self._node
         )
 
     def _faster_unheard_nodes(self, now_ms: int) -> list[str]:
-        """Return faster nodes that this one, just started, knows by their cards only.
+        """Return faster nodes that this one, just started, knows by their node records only.
 
-        It has heard a node or two in its first moments: by these alone it would be the first of all
-        and take a duty that faster ones are about to take.
+        It has received the heartbeats of a node or two in its first moments: by these alone it
+        would rank first and claim a lease that faster nodes are about to claim.
         """
         if now_ms - self._started_ms > FIRST_HEARTBEAT_TIMEOUT_MS:
             return []
-        own = machine_class(self._view.cores)
+        own_class = machine_class(self._view.cores)
         unheard = [
             name for name in self._view.record_by_name if self._view.heartbeat_of(name) is None
         ]
-        return [name for name in unheard if machine_class(self._view.cores_of(name)) > own]
+        return [name for name in unheard if machine_class(self._view.cores_of(name)) > own_class]
 
     def _ranked(self, names: list[str]) -> list[str]:
-        """Return nodes in the order in which they should hold the duty."""
+        """Return nodes in the order in which they should hold the lease."""
         return ranked_candidates(self.cell, {name: self._view.cores_of(name) for name in names})
 
     def _claim(self, now_ms: int) -> None:
-        known = self._lease_watch.row
-        newest = self._view.claim_of(self.cell)
-        epoch = max(known.next_epoch() if known else 1, newest.epoch + 1 if newest else 0)
-        before = known.holder if known is not None else ""
-        if known is not None and before == self._node:
-            before = known.previous_holder
+        known_row = self._lease_watch.row
+        newest_claim = self._view.claim_of(self.cell)
+        epoch = max(
+            known_row.next_epoch() if known_row else 1,
+            newest_claim.epoch + 1 if newest_claim else 0,
+        )
+        previous_holder = known_row.holder if known_row is not None else ""
+        if known_row is not None and previous_holder == self._node:
+            previous_holder = known_row.previous_holder
         row = CellLeaseRow(
             self.cell,
             self._node,
@@ -412,10 +453,12 @@
             epoch,
             0,
             self._choose_standbys(now_ms),
-            previous_holder=before,
+            previous_holder=previous_holder,
         )
         self._claim_candidates = set(row.standbys)
-        result = self._commit_row(row, self._lease_watch.row_version if known is not None else 0)
+        result = self._commit_row(
+            row, self._lease_watch.row_version if known_row is not None else 0
+        )
         self._claimable_since_ms = None
         if isinstance(result, Committed):
             self.held_lease.record_write(row, result.version, now_ms)
@@ -426,7 +469,9 @@
             self._view.apply_claim(CellLeaseClaim(self.cell, self._node, epoch, row.standbys))
             log(
                 _LOGGER,
-                events.DutyWon(cell=self.cell, epoch=epoch, before=known.holder if known else None),
+                events.DutyWon(
+                    cell=self.cell, epoch=epoch, before=known_row.holder if known_row else None
+                ),
             )
             self._on_won()
         elif isinstance(result, Conflict):
@@ -436,7 +481,7 @@
 
     def _renew(self, now_ms: int) -> None:
         if self._is_standby_lease:
-            # The row must not go on under an epoch that was an heir's: it is claimed anew.
+            # The row must not continue under the epoch of a standby: the lease is claimed again.
             self._renewed_ms = now_ms
             self._claim(now_ms)
             return
@@ -450,7 +495,8 @@
         match result:
             case Committed(version=version):
                 self._claim_candidates = set(row.standbys)
-                # Lost meanwhile by what was heard: the renewal must not revive it.
+                # The lease was lost meanwhile because of a heartbeat: the renewal must not revive
+                # it.
                 if self.held_lease.row is not None and self.held_lease.row.epoch == row.epoch:
                     self.held_lease.record_write(row, version, now_ms)
                     self._renewed_ms = now_ms
@@ -464,7 +510,7 @@
                 self.store_lost = True
 
     def handle_superseded(self) -> None:
-        """Take a runner's word that another node holds the duty."""
+        """Handle a runner's answer that another node holds the lease."""
         self._handle_lost_lease("a runner has seen a higher fencing number")
         self._read_row()
 
@@ -475,10 +521,10 @@
         log(_LOGGER, events.DutyLost(cell=self.cell, epoch=epoch, cause=cause))
 
     def _read_row(self) -> None:
-        asked_ms = self._clock.now_ms()
+        requested_ms = self._clock.now_ms()
         row = self._table.get(CELL_LEASE_PREFIX + self.cell)
         if isinstance(row, Row):
-            self._last_read_ms = asked_ms
+            self._last_read_ms = requested_ms
             self.handle_row(row)
 
     def _commit_row(self, row: CellLeaseRow, version: int) -> Committed | Conflict | Unavailable:
@@ -496,7 +542,7 @@
 
 
 class CellLeaseFields(Struct):
-    """The value of a duty's row."""
+    """The stored value of a cell lease."""
 
     holder: str
     boot: str
@@ -510,17 +556,18 @@
 def _lease_timing(lease_ms: int, fenced: bool) -> LeaseTiming:
     """Return how long leases last.
 
-    :param lease_ms: as the deployment names it.
+    :param lease_ms: as set for the deployment.
     """
     if not fenced:
-        # Without fences nobody acts before the lease is over: a short one ends the wait sooner, and
-        # through a slow or lost store the claimants' promises carry the holder.
+        # Without fencing nobody acts before the lease has expired: a short one ends the wait
+        # sooner, and the promises of the claim candidates carry the holder through a slow or lost
+        # store.
         lease_ms = int(lease_ms * UNFENCED_LEASE_SHARE)
     return LeaseTiming(lease_ms, int(lease_ms * MARGIN_SHARE))
 
 
 def decode_cell_lease(cell: str, body: bytes | None) -> CellLeaseRow | None:
-    """Return a duty's row, or ``None`` when it is malformed or gone."""
+    """Return the row of a cell lease, or ``None`` when it is malformed or missing."""
     fields = read(body, CellLeaseFields) if body is not None else "gone"
     if isinstance(fields, str):
         return None
--- a/monsoonflow/entry/metrics.py
+++ b/monsoonflow/entry/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an entry node; no label takes a value for each adapter, server or caller."""
+"""The metrics of an entry node; no label has a value for each adapter, server or caller."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class EntryMetrics:
-    """One entry node's metrics in a registry of its own."""
+    """The metrics of one entry node, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -86,7 +86,7 @@
         first_ms: int | None,
         took_ms: int,
     ) -> None:
-        """Count a request's end."""
+        """Count a finished request."""
         self.requests.labels(kind, str(priority), outcome).inc()
         self.objectives.labels(kind, str(priority), objective).inc()
         if first_ms is not None:
@@ -94,19 +94,19 @@
             self.whole_answer.labels(kind).observe(took_ms / 1000)
 
     def count_attempt(self, result: str) -> None:
-        """Count a try at a server."""
+        """Count an attempt at a server."""
         self.attempts.labels(result).inc()
 
     def count_retry(self, allowed: bool) -> None:
-        """Count a wish to try again."""
+        """Count a wanted retry."""
         self.retries.labels("yes" if allowed else "no").inc()
 
     def count_resume(self) -> None:
-        """Count a stream that goes on elsewhere."""
+        """Count a stream that is resumed at another server."""
         self.resumes.inc()
 
     def add_gauge(self, name: str, help_text: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when it is asked for."""
+        """Add a gauge that is read whenever the metrics are requested."""
         Gauge(METRIC_PREFIX + name, help_text, registry=self.registry).set_function(read)
 
     def handle(self, request: Request, reply: Reply) -> None:
--- a/monsoonflow/entry/node_activity.py
+++ b/monsoonflow/entry/node_activity.py
@@ -1,4 +1,4 @@
-"""Tells whether this node is active: whether other nodes need its word fresh."""
+"""Determines whether this node is active: whether its peers need fresh heartbeats from it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 
 class NodeActivity:
-    """Whether a node has callers or a part in duties; in a small fleet all count as such.
+    """Tracks whether a node has callers or a role in cell leases; in a small fleet all are active.
 
-    :param watches: tells whether the others rely on this node to ask for servers.
-    :ivar active: as it was told to the others last.
-    :param on_begin: called when a node that had none gets callers: it was told of no servers that
-        came meanwhile.
+    :param watches_servers: returns whether the peers rely on this node to ask the store for
+        servers.
+    :param on_activated: called when an idle node becomes active: while it was idle, it was not sent
+        the servers that were added.
+    :ivar active: the state that was last sent to the peers.
     """
 
     def __init__(
@@ -37,9 +38,9 @@
         self.active = False
 
     def refresh(self) -> bool:
-        """Return whether this node is active now."""
-        before, self.active = self.active, self._is_active()
-        if self.active and not before:
+        """Update and return whether this node is active."""
+        was_active, self.active = self.active, self._is_active()
+        if self.active and not was_active:
             self._on_activated()
         return self.active
 
--- a/monsoonflow/entry/node_registration.py
+++ b/monsoonflow/entry/node_registration.py
@@ -1,4 +1,4 @@
-"""Keeps this node's card in the store, and clears away those of nodes that are long gone."""
+"""Keeps this node's record in the store, and removes the records of nodes that are gone."""
 
 from __future__ import annotations
 
@@ -19,13 +19,14 @@
 RETRY_PAUSE_MS: Final = 300
 CHECK_INTERVAL_MS: Final = 5_000
 REMOVE_AFTER_MS: Final = 30_000
-"""A node silent for so long is taken out of the list; when it lives, it writes its card again."""
+"""A node silent for this long is removed from the list; if it is alive, it writes its record
+again."""
 
 
 class NodeRegistration:
-    """Writes this node's card and removes those of nodes that are gone.
+    """Writes this node's record and removes those of nodes that are gone.
 
-    :param card: returns this node's card as of now: changed settings may change it.
+    :param node_record: returns this node's current record: a change of settings may change it.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self.is_written = False
 
     def run(self) -> None:
-        """Write the card, and look after the list for good."""
+        """Write the record, then check the list periodically."""
         while not self._write():
             self._tasks.sleep(RETRY_PAUSE_MS)
         while True:
@@ -55,26 +56,28 @@
             self._remove_departed_nodes()
 
     def _write(self) -> bool:
-        card = self._node_record()
-        key = NODE_RECORD_PREFIX + card.name
-        result = self._table.commit(Transaction(new_id("op"), {}, {key: encode_node_record(card)}))
+        record = self._node_record()
+        key = NODE_RECORD_PREFIX + record.name
+        result = self._table.commit(
+            Transaction(new_id("op"), {}, {key: encode_node_record(record)})
+        )
         self.is_written = isinstance(result, Committed)
         if self.is_written:
-            log(_LOGGER, events.CardWritten(node=card.name))
+            log(_LOGGER, events.CardWritten(node=record.name))
         return self.is_written
 
     def _remove_departed_nodes(self) -> None:
         now_ms = self._clock.now_ms()
-        own = self._view.name
-        names = sorted({own, *self._view.record_by_name})
-        alive = [name for name in names if name == own or self._view.is_alive(name, now_ms)]
+        own_name = self._view.name
+        names = sorted({own_name, *self._view.record_by_name})
+        alive = [name for name in names if name == own_name or self._view.is_alive(name, now_ms)]
         for name in names:
             if name in alive:
                 self._missing_since_by_name.pop(name, None)
                 continue
-            since_ms = self._missing_since_by_name.setdefault(name, now_ms)
-            # Only the first of the living does it: the others would only repeat the write.
-            if now_ms - since_ms > REMOVE_AFTER_MS and alive[0] == own:
+            missing_since_ms = self._missing_since_by_name.setdefault(name, now_ms)
+            # Only the first of the live nodes removes it: the others would only repeat the write.
+            if now_ms - missing_since_ms > REMOVE_AFTER_MS and alive[0] == own_name:
                 self._table.commit(Transaction(new_id("op"), {}, {}, (NODE_RECORD_PREFIX + name,)))
                 self._missing_since_by_name.pop(name)
                 log(_LOGGER, events.CardRemoved(node=name))
--- a/monsoonflow/entry/peers.py
+++ b/monsoonflow/entry/peers.py
@@ -1,4 +1,4 @@
-"""Calls between entry nodes: a newer configuration, and an adapter asked for."""
+"""Calls between entry nodes: newer configurations, snapshots and slot requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class PeerClient:
-    """Asks other entry nodes."""
+    """Sends calls to other entry nodes."""
 
     def __init__(
         self, view: FleetView, clock: Clock, decode: Callable[[bytes], RouteTable | str]
@@ -41,41 +41,43 @@
         return call(self._pools, address, method, path, body, timeout_ms)
 
     def fetch_newer_configuration(self, cluster_state: ClusterState) -> None:
-        """Fetch the configuration from a node that has a newer one.
+        """Fetch the configuration from a peer that has a newer one.
 
-        A node that can't reach the store would otherwise go on with the old one.
+        A node that can't reach the store would otherwise continue with the old one.
         """
-        own = cluster_state.route_table.version if cluster_state.route_table is not None else 0
+        own_version = (
+            cluster_state.route_table.version if cluster_state.route_table is not None else 0
+        )
         now_ms = self._clock.now_ms()
-        # Who was heard last first: a node that has just fallen silent still counts as heard, and an
-        # answer is waited for in vain for a second.
-        reports = sorted(
+        # The peer with the most recent heartbeat comes first: a peer that has just failed still
+        # counts as alive, and its answer would be waited for in vain for a second.
+        heartbeats = sorted(
             self._view.heartbeats(now_ms),
-            key=lambda report: self._view.heartbeat_age_ms(report.name, now_ms) or 0,
+            key=lambda heartbeat: self._view.heartbeat_age_ms(heartbeat.name, now_ms) or 0,
         )
-        for report in reports:
-            card = self._view.record_by_name.get(report.name)
-            if report.config_version <= own or card is None:
+        for heartbeat in heartbeats:
+            record = self._view.record_by_name.get(heartbeat.name)
+            if heartbeat.config_version <= own_version or record is None:
                 continue
-            answer = self.call(card.peer_address, CONFIGURATION_PATH, b"", FETCH_TIMEOUT_MS)
+            answer = self.call(record.peer_address, CONFIGURATION_PATH, b"", FETCH_TIMEOUT_MS)
             if isinstance(answer, Lost) or answer.head.status != 200:
                 continue
-            table = self._decode(answer.body)
-            if isinstance(table, str):
-                log(_LOGGER, events.UnusablePeerConfiguration(cause=table))
+            route_table = self._decode(answer.body)
+            if isinstance(route_table, str):
+                log(_LOGGER, events.UnusablePeerConfiguration(cause=route_table))
                 continue
-            cluster_state.apply_route_table(table, answer.body, report.name)
+            cluster_state.apply_route_table(route_table, answer.body, heartbeat.name)
             return
 
     def fetch_snapshot(
         self, seeds: tuple[str, ...], own_address: str, store_follower: StoreFollower
     ) -> None:
-        """Take what another node knows: a node that starts in an outage of the store knows nothing.
+        """Fetch and apply a peer's snapshot, for a node that starts while the store is lost.
 
-        :param seeds: addresses to try, in turn; some may be out of date.
+        :param seeds: addresses to try, in this order; some may be out of date.
         """
-        known = [card.peer_address for card in self._view.record_by_name.values()]
-        for address in dict.fromkeys([*seeds, *known]):
+        known_addresses = [record.peer_address for record in self._view.record_by_name.values()]
+        for address in dict.fromkeys([*seeds, *known_addresses]):
             if address == own_address:
                 continue
             answer = self.call(address, SNAPSHOT_PATH, b"", FETCH_TIMEOUT_MS)
@@ -88,10 +90,10 @@
 
 
 class PeerApi:
-    """Answers other entry nodes.
+    """Answers calls of other entry nodes.
 
-    :param teach: returns all rows that this node has taken.
-    :param answer_placement: answers a request for a place.
+    :param snapshot: returns all rows that this node has applied.
+    :param answer_slot_request: answers a request for a slot.
     """
 
     def __init__(
@@ -107,10 +109,10 @@
     def handle(self, request: Request, reply: Reply) -> None:
         """Answer one call."""
         path = request.target.partition(b"?")[0].decode("latin-1")
-        beliefs = self._cluster_state
-        if path == CONFIGURATION_PATH and beliefs.route_table is not None:
-            reply.whole(200, [], beliefs.route_table_body)
-        elif path == SNAPSHOT_PATH and beliefs.route_table is not None:
+        cluster_state = self._cluster_state
+        if path == CONFIGURATION_PATH and cluster_state.route_table is not None:
+            reply.whole(200, [], cluster_state.route_table_body)
+        elif path == SNAPSHOT_PATH and cluster_state.route_table is not None:
             reply.whole(200, [], self._snapshot())
         elif path == SLOT_REQUEST_PATH:
             self._answer_slot_request(request, reply)
--- a/monsoonflow/entry/placement_client.py
+++ b/monsoonflow/entry/placement_client.py
@@ -1,4 +1,4 @@
-"""Finds or gets a place for an adapter, for the requests of this node."""
+"""Finds a runner that holds an adapter, or requests a slot for it, for this node's requests."""
 
 from __future__ import annotations
 
@@ -25,36 +25,37 @@
 
 _LOGGER = logging.getLogger(__name__)
 SLOT_WAIT_SHARE: Final = 0.6
-"""Share of the time left that a request waits for its adapter; the rest is for its answer."""
+"""Share of the remaining time that a request waits for its adapter; the rest is for its answer."""
 
 RESUME_PRIORITY: Final = -1
-"""Before the most urgent routes, which have 0."""
+"""Ahead of the most urgent routes, which have 0."""
 
 NO_HOLDER_PAUSE_MS: Final = 60
 MAX_ANSWER_WAIT_MS: Final = 800
-"""Longest wait for a holder's answer before it is asked again: one that was frozen meanwhile is
-silent by then, and another is asked."""
+"""Longest wait for a holder's answer before the request is sent again: a holder that was suspended
+meanwhile counts as silent by then, and another node is asked."""
 
 OLD_VERSION_SHARE: Final = 0.5
-"""Share of the bound on new versions in which an older one may still begin a request; the rest is
-for requests on their way."""
+"""Share of the bound on new versions during which an older one may still start a request; the rest
+is for requests on their way."""
 
 RECALL_SHARE: Final = 0.8
 """Share of the bound on new versions after which a request that still waits at a runner for an
-older one is taken back; the rest is for a node that learnt of the version late."""
+older one is recalled; the rest is for a node that learnt of the version late."""
 
 REFUSED_RETRY_AFTER_MS: Final = 500
 
 RESIDENCY_STALE_MS: Final = 5_000
-"""A holder's word on what runners hold that is older says nothing while the holder is heard: it
-tells all with callers each two seconds at most, and a datagram may be lost."""
+"""A holder's residency report that is older is ignored while its heartbeats arrive: it sends one to
+all nodes with callers at least every two seconds, and a datagram may be lost."""
 
 MAX_RESIDENCY_LAG_MS: Final = 1_500
-"""The word is no older for a holder that has fallen silent: what was known then goes on."""
+"""How much older than its last heartbeat the residency report of a holder may be: what was known of
+a holder that has fallen silent stays in use."""
 
 
 class PlacementClient:
-    """Where the adapters are, and the way to get one loaded."""
+    """Finds runners that hold an adapter, and gets adapters loaded."""
 
     def __init__(self, daemon: EntryDaemon) -> None:
         self._daemon = daemon
@@ -65,18 +66,18 @@
         wanted = self.wanted_version(adapter)
         if wanted is None:
             return held
-        fresh = {life: version for life, version in held.items() if version >= wanted}
-        return fresh or {
+        current = {life: version for life, version in held.items() if version >= wanted}
+        return current or {
             life: version
             for life, version in held.items()
             if not self._is_too_old(adapter, version)
         }
 
     def _known_holders(self, adapter: str) -> dict[str, int]:
-        """Return who holds an adapter by the word of their holder, as far as it is told.
+        """Return the runners that hold an adapter, by the recent reports of lease holders.
 
-        A node that had no callers until now was told no more than that the holder lives: what it
-        knows may be minutes old, and it asks the holder.
+        A node that had no callers until now was only sent that the holder is alive: what it knows
+        may be minutes old, and it asks the holder.
         """
         daemon = self._daemon
         held = daemon.cell_leases.residency.holders(adapter)
@@ -86,31 +87,31 @@
             claim = daemon.view.claim_of(server.service) if server is not None else None
             if claim is None or claim.holder == daemon.settings.name:
                 continue
-            told_ms = daemon.view.residency_age_ms(claim.holder, now_ms)
-            heard_ms = daemon.view.heartbeat_age_ms(claim.holder, now_ms)
-            if told_ms is not None and told_ms > max(
-                RESIDENCY_STALE_MS, heard_ms + MAX_RESIDENCY_LAG_MS
+            report_age_ms = daemon.view.residency_age_ms(claim.holder, now_ms)
+            heartbeat_age_ms = daemon.view.heartbeat_age_ms(claim.holder, now_ms)
+            if report_age_ms is not None and report_age_ms > max(
+                RESIDENCY_STALE_MS, heartbeat_age_ms + MAX_RESIDENCY_LAG_MS
             ):
                 del held[life]
         return held
 
     def wanted_version(self, adapter: str) -> int | None:
-        """Return the version that the operator named; ``None`` where none was."""
+        """Return the version that the operator published; ``None`` where there is none."""
         return self._daemon.cluster_state.version_by_adapter.get(adapter)
 
     def start_deadline_ms(self, adapter: str, version: int) -> int | None:
-        """Return until when a request may begin on a version; ``None`` while it is the newest.
+        """Return until when a request may start on a version; ``None`` while it is the newest.
 
-        A runner's own queue may be seconds long: a request sent before a version was named would
-        begin on the older one after the bound.
+        A runner's own queue may be seconds long: a request sent before a newer version was
+        published would start on the older one after the bound.
         """
-        passed_ms = self._daemon.cluster_state.superseded_at_ms(adapter, version)
-        if passed_ms is None:
+        superseded_ms = self._daemon.cluster_state.superseded_at_ms(adapter, version)
+        if superseded_ms is None:
             return None
-        return passed_ms + int(self._daemon.settings.bounds.version_ms * RECALL_SHARE)
+        return superseded_ms + int(self._daemon.settings.bounds.version_ms * RECALL_SHARE)
 
     def mark_adapter_missing(self, adapter: str, life: ServerLife) -> None:
-        """Take the word of a runner that it does not hold an adapter."""
+        """Record a runner's answer that it does not hold an adapter."""
         self._daemon.cell_leases.residency.record_missing(life, adapter)
         self._daemon.cell_leases.mark_unconfirmed(life, adapter)
 
@@ -122,18 +123,18 @@
         job: Job,
         overloaded: Collection[ServerLife] = (),
     ) -> Chosen | NoServer:
-        """Have the adapter loaded somewhere; waits until it is there.
+        """Get the adapter loaded on some runner; waits until it is there.
 
-        :param crowded: runners that hold it and can't read the request in time.
+        :param overloaded: runners that hold it and can't process the prompt in time.
         """
         clock = self._daemon.clock
         began_ms = clock.now_ms()
         if overloaded and not self._has_other_runners(service, overloaded):
             drained_ms = self._daemon.backlog.queue_drain_ms(overloaded, job, began_ms)
             return NoServer("every queue is longer than the time left", drained_ms)
-        found = self._request_until_placed(call, route, service, job, frozenset(overloaded))
+        choice = self._request_until_placed(call, route, service, job, frozenset(overloaded))
         waited_ms = clock.now_ms() - began_ms
-        result = "placed" if isinstance(found, Chosen) else "refused"
+        result = "placed" if isinstance(choice, Chosen) else "refused"
         self._daemon.metrics.slot_wait.labels(result).observe(waited_ms / 1000)
         claim = self._daemon.view.claim_of(service.name)
         log(
@@ -146,7 +147,7 @@
                 waited_ms=waited_ms,
             ),
         )
-        return found
+        return choice
 
     def _request_until_placed(
         self,
@@ -154,7 +155,7 @@
         route: Route,
         service: Service,
         job: Job,
-        crowded: frozenset[ServerLife],
+        overloaded: frozenset[ServerLife],
     ) -> Chosen | NoServer:
         clock = self._daemon.clock
         began_ms = clock.now_ms()
@@ -162,28 +163,28 @@
         if not job.is_resuming():
             until_ms = min(until_ms, self._slot_useful_until_ms(call, route, job))
         while (left_ms := until_ms - clock.now_ms()) > 0:
-            question = self._create_slot_request(call, route, service, job, left_ms, crowded)
-            question["waited_ms"] = clock.now_ms() - began_ms
-            question["tried_ms"] = job.request.arrived_ms - job.first_tried_ms
-            found = self._send_slot_request(service, question, left_ms)
-            if isinstance(found, NoSlot):
-                return NoServer("too many wait for a place", found.retry_after_ms)
+            slot_request = self._create_slot_request(call, route, service, job, left_ms, overloaded)
+            slot_request["waited_ms"] = clock.now_ms() - began_ms
+            slot_request["tried_ms"] = job.request.arrived_ms - job.first_tried_ms
+            answer = self._send_slot_request(service, slot_request, left_ms)
+            if isinstance(answer, NoSlot):
+                return NoServer("too many wait for a place", answer.retry_after_ms)
             chosen = (
-                self._choose_granted_slot(call, job, found) if isinstance(found, Placed) else None
+                self._choose_granted_slot(call, job, answer) if isinstance(answer, Placed) else None
             )
             if chosen is None:
                 self._daemon.tasks.sleep(min(NO_HOLDER_PAUSE_MS, left_ms))
                 chosen = self._choose_new_holder(call, service, job)
             if chosen is not None:
                 return chosen
-        return NoServer("no place for the adapter in time", REFUSED_RETRY_AFTER_MS)
+        return NoServer("no slot for the adapter in time", REFUSED_RETRY_AFTER_MS)
 
     def _slot_useful_until_ms(self, call: Call, route: Route, job: Job) -> int:
-        """Return until when a place still gives the caller a first event before it leaves.
+        """Return until when a slot still allows a first event before the caller leaves.
 
-        Callers of a stream leave long before their deadline when nothing comes: held beyond that,
-        one in nine of the most urgent kind left unanswered in a rush, and was not told when to come
-        back.
+        Callers of a stream leave long before their deadline when nothing arrives: if requests
+        waited beyond that, one in nine of the most urgent kind would remain unanswered in a burst,
+        and its caller would not be told when to retry.
         """
         if route.first_event_timeout_ms is None:
             return job.answer_deadline_ms
@@ -191,24 +192,24 @@
         leaves_ms = job.request.arrived_ms + route.first_event_timeout_ms
         return min(leaves_ms, job.cancel_at_ms()) - answer_ms
 
-    def _choose_granted_slot(self, call: Call, job: Job, placed: Placed) -> Chosen | None:
-        book = self._daemon.cluster_state.server_registry
-        server = book.server_by_life.get(placed.life)
-        if server is None or not book.is_accepting_work(placed.life):
+    def _choose_granted_slot(self, call: Call, job: Job, granted: Placed) -> Chosen | None:
+        registry = self._daemon.cluster_state.server_registry
+        server = registry.server_by_life.get(granted.life)
+        if server is None or not registry.is_accepting_work(granted.life):
             return None
-        if self._is_too_old(call.adapter or "", placed.version):
+        if self._is_too_old(call.adapter or "", granted.version):
             return None
-        job.first_tried_ms = min(job.first_tried_ms, job.request.arrived_ms - placed.tried_ms)
+        job.first_tried_ms = min(job.first_tried_ms, job.request.arrived_ms - granted.tried_ms)
         adapter = call.adapter or ""
-        ref = AdapterRef(adapter, placed.version)
-        self._daemon.cell_leases.residency.record_granted(placed.life, ref)
-        wanted = self.wanted_version(adapter)
-        current = wanted is not None and placed.version >= wanted
-        expect = wanted if current else None
-        return self._create_choice(server, call, job, placed.version, expect, "placed")
+        ref = AdapterRef(adapter, granted.version)
+        self._daemon.cell_leases.residency.record_granted(granted.life, ref)
+        wanted_version = self.wanted_version(adapter)
+        is_current = wanted_version is not None and granted.version >= wanted_version
+        expected_version = wanted_version if is_current else None
+        return self._create_choice(server, call, job, granted.version, expected_version, "placed")
 
     def _choose_new_holder(self, call: Call, service: Service, job: Job) -> Chosen | None:
-        """Return a runner that was heard to hold the adapter while nobody answered."""
+        """Return a runner that was reported to hold the adapter while nobody answered."""
         held = self.runners_with_adapter(call.adapter or "")
         now_ms = self._daemon.clock.now_ms()
         for server in self._daemon.cluster_state.server_registry.servers_of(service.name):
@@ -220,10 +221,10 @@
                 )
         return None
 
-    def _has_other_runners(self, service: Service, crowded: Collection[ServerLife]) -> bool:
-        """Tell whether there are runners beside the crowded ones."""
+    def _has_other_runners(self, service: Service, overloaded: Collection[ServerLife]) -> bool:
+        """Return whether there are runners other than the overloaded ones."""
         runners = self._daemon.cluster_state.server_registry.servers_of(service.name)
-        return any(server.life not in crowded for server in runners)
+        return any(server.life not in overloaded for server in runners)
 
     def _create_slot_request(
         self,
@@ -232,15 +233,16 @@
         service: Service,
         job: Job,
         left_ms: int,
-        crowded: frozenset[ServerLife],
+        overloaded: frozenset[ServerLife],
     ) -> dict[str, Any]:
         now_ms = self._daemon.clock.now_ms()
-        read_ms = None if job.is_resuming() else Backlog.max_queue_ms(job, now_ms)
+        prefill_within_ms = None if job.is_resuming() else Backlog.max_queue_ms(job, now_ms)
         answer_ms = self._daemon.gateway.first_event_estimator.expected_ms(call.prompt_tokens)
         on_time_ms = job.objective_deadline_ms() - answer_ms - now_ms
         priority = route.priority
         if job.is_resuming():
-            # Half an answer is worth nothing: who has had a part of it goes before all others.
+            # Half an answer is worth nothing: a request that has received a part of it goes before
+            # all others.
             priority, on_time_ms = RESUME_PRIORITY, left_ms
         return {
             "cell": service.name,
@@ -249,30 +251,30 @@
             "priority": priority,
             "wait_ms": left_ms,
             "on_time_ms": on_time_ms,
-            "avoid": self._runners_to_avoid(service, job, crowded),
+            "avoid": self._runners_to_avoid(service, job, overloaded),
             "session": call.session,
             "lacking": self._daemon.cell_leases.residency.runners_lacking(call.adapter or ""),
             "rank": job.rank_at(now_ms),
             "prompt_tokens": call.prompt_tokens,
-            "read_ms": read_ms,
+            "read_ms": prefill_within_ms,
             "tokens_per_ms": self._daemon.backlog.prefill_rate.tokens_per_ms(None, now_ms),
         }
 
     def _send_slot_request(
-        self, service: Service, question: dict[str, Any], left_ms: int
+        self, service: Service, slot_request: dict[str, Any], left_ms: int
     ) -> Placed | NoSlot | None:
-        """Ask this node's desk, or the holder's; ``None`` when nobody answers."""
+        """Ask this node's scheduler, or the holder's; ``None`` when nobody answers."""
         daemon = self._daemon
-        duty = daemon.cell_leases.lease_of(service.name)
-        if duty is not None and duty.scheduler is not None:
-            return daemon.cell_leases.request_slot(duty, question)
+        lease = daemon.cell_leases.lease_of(service.name)
+        if lease is not None and lease.scheduler is not None:
+            return daemon.cell_leases.request_slot(lease, slot_request)
         claim = daemon.view.claim_of(service.name)
-        card = daemon.view.record_by_name.get(claim.holder) if claim is not None else None
-        if card is None or not daemon.view.is_alive(claim.holder, daemon.clock.now_ms()):
+        record = daemon.view.record_by_name.get(claim.holder) if claim is not None else None
+        if record is None or not daemon.view.is_alive(claim.holder, daemon.clock.now_ms()):
             return None
-        body = orjson.dumps(question)
+        body = orjson.dumps(slot_request)
         answer = daemon.peer_client.call(
-            card.peer_address, SLOT_REQUEST_PATH, body, min(left_ms, MAX_ANSWER_WAIT_MS)
+            record.peer_address, SLOT_REQUEST_PATH, body, min(left_ms, MAX_ANSWER_WAIT_MS)
         )
         if isinstance(answer, Lost):
             if not answer.sent:
@@ -289,22 +291,23 @@
             return None
 
     def _runners_to_avoid(
-        self, service: Service, job: Job, crowded: frozenset[ServerLife]
+        self, service: Service, job: Job, overloaded: frozenset[ServerLife]
     ) -> list[ServerLife]:
-        """Return the runners that a request shall not go to; none when there is no other.
+        """Return the runners to avoid; only the overloaded ones if no other would be left.
 
-        :param crowded: to be avoided in any case: it can't be served there.
+        :param overloaded: avoided in any case: the request can't be served there.
         """
         now_ms = self._daemon.clock.now_ms()
         runners = [
-            s.life for s in self._daemon.cluster_state.server_registry.servers_of(service.name)
+            server.life
+            for server in self._daemon.cluster_state.server_registry.servers_of(service.name)
         ]
-        paused = [s for s in runners if self._daemon.health_tracker.is_paused(s, now_ms)]
-        avoided = {*job.avoided_lives, *paused, *crowded}
-        return sorted(avoided if set(runners) - avoided else crowded)
+        paused = [life for life in runners if self._daemon.health_tracker.is_paused(life, now_ms)]
+        avoided = {*job.avoided_lives, *paused, *overloaded}
+        return sorted(avoided if set(runners) - avoided else overloaded)
 
     def _is_too_old(self, adapter: str, version: int) -> bool:
-        """Tell whether a version may no longer get new requests."""
+        """Return whether a version may no longer receive new requests."""
         after_ms = self._daemon.settings.bounds.version_ms * OLD_VERSION_SHARE
         return self._daemon.cluster_state.has_been_superseded_for(
             AdapterRef(adapter, version), after_ms
--- a/monsoonflow/entry/plan_pause.py
+++ b/monsoonflow/entry/plan_pause.py
@@ -1,7 +1,7 @@
-"""Tells how long a holder waits after a plan before it plans for the next news.
+"""Calculates how long a holder waits after a plan before it plans for the next changes.
 
-The load that it is made for: some hundred questions, reports and answers to orders a second, each
-of which is news.
+The expected load is some hundred slot requests, reports and answers to orders a second, each of
+which is a change.
 """
 
 from __future__ import annotations
@@ -9,18 +9,19 @@
 from typing import Final
 
 MAX_PLAN_SHARE: Final = 0.2
-"""Share of its time that a busy holder may spend on plans; the rest is for questions, reports, and
-the answers to its orders."""
+"""Share of its time that a busy holder may spend on plans; the rest is for slot requests, reports
+and the answers to its orders."""
 
 MAX_PAUSE_MS: Final = 10
-"""Longest pause. An adapter needs some four plans until it serves; paused for up to 30 ms after
-each, a holder of 45 runners in a rush gave half as many places."""
+"""Longest pause. An adapter needs some four plans until it can serve; with pauses of up to 30 ms
+after each, a holder of 45 runners granted half as many slots in a burst."""
 
 
 def pause_after_plan_ms(took_ms: int) -> int:
     """Return how long to wait after a plan that took so long.
 
-    The clock's whole milliseconds are right on the mean: of plans of 0.3 ms each third is seen.
+    The clock's whole milliseconds are right on average: a plan of 0.3 ms is measured as 1 ms about
+    one time in three, and as 0 ms otherwise.
 
     >>> [pause_after_plan_ms(took_ms) for took_ms in (0, 1, 2, 50)]
     [0, 4, 8, 10]
--- a/monsoonflow/entry/residency.py
+++ b/monsoonflow/entry/residency.py
@@ -1,4 +1,4 @@
-"""Which runners can serve an adapter now, as this node knows it."""
+"""Which runners can serve an adapter now, as far as this node knows."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from ..fleet.models import ResidentAdapters
 
 MISSING_REPORT_MS: Final = 400
-"""How long a runner's own word that it lacks an adapter goes before the holder's older report."""
+"""How long a runner's own answer that it lacks an adapter overrides the holder's older report."""
 
 
 MAX_HISTORY: Final = 64
-"""Adapters of which a runner is thought to keep copies."""
+"""Adapters of which a runner is assumed to keep copies."""
 
 
 class Residency:
-    """The runners that hold each adapter: told by the cells' holders, mended by the runners."""
+    """The runners that hold each adapter: reported by lease holders, corrected by the runners."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -28,20 +28,20 @@
         self._history_by_server: dict[str, OrderedDict[AdapterRef, None]] = {}
         self._report_by_cell: dict[str, tuple[ResidentAdapters, ...]] = {}
 
-    def apply_peer_report(self, cell: str, told: tuple[ResidentAdapters, ...]) -> None:
-        """Take the word of the holder of a cell, once.
+    def apply_peer_report(self, cell: str, report: tuple[ResidentAdapters, ...]) -> None:
+        """Apply the report of a cell's holder, unless it has been applied before.
 
-        It is looked for ten times a second and told once a second in a large fleet: taken each
-        time, it costs as much as the reports of all other nodes, and overwrites what this node has
-        learnt of a runner meanwhile.
+        It is looked up ten times a second and sent once a second in a large fleet: applying it each
+        time would cost as much as the heartbeats of all other nodes, and overwrite what this node
+        has learnt of a runner meanwhile.
         """
-        if self._report_by_cell.get(cell) is not told:
-            self._report_by_cell[cell] = told
-            self.apply_report(told)
+        if self._report_by_cell.get(cell) is not report:
+            self._report_by_cell[cell] = report
+            self.apply_report(report)
 
-    def apply_report(self, told: tuple[ResidentAdapters, ...]) -> None:
-        """Take a holder's word about its runners; it replaces what was known of them."""
-        for held in told:
+    def apply_report(self, report: tuple[ResidentAdapters, ...]) -> None:
+        """Apply a holder's report about its runners; it replaces what was known of them."""
+        for held in report:
             self._add_to_history(held)
             self._versions_by_server[held.life] = {ref.name: ref.version for ref in held.adapters}
 
@@ -54,38 +54,38 @@
             history.popitem(last=False)
 
     def history(self, life: ServerLife) -> list[AdapterRef]:
-        """Return what a runner was ever told to hold, oldest first: it keeps copies of that.
+        """Return what a runner was ever reported to hold, oldest first: it keeps copies of that.
 
-        A node that takes a duty over would otherwise fetch again what runners have at hand.
+        A node that takes a cell lease over would otherwise fetch again what runners have at hand.
         """
         return list(self._history_by_server.get(life, ()))
 
-    def record_granted(self, life: ServerLife, ref: AdapterRef) -> None:
-        """Take that a runner was just found to hold an adapter."""
-        self._missing_until_ms.pop((life, ref.name), None)
-        self._versions_by_server.setdefault(life, {})[ref.name] = ref.version
+    def record_granted(self, life: ServerLife, adapter: AdapterRef) -> None:
+        """Record that a runner was just found to hold an adapter."""
+        self._missing_until_ms.pop((life, adapter.name), None)
+        self._versions_by_server.setdefault(life, {})[adapter.name] = adapter.version
 
     def record_missing(self, life: ServerLife, name: str) -> None:
-        """Take the runner's word that it does not hold an adapter."""
+        """Record a runner's answer that it does not hold an adapter."""
         self._versions_by_server.get(life, {}).pop(name, None)
         self._missing_until_ms[life, name] = self._clock.now_ms() + MISSING_REPORT_MS
 
     def runners_lacking(self, name: str) -> list[ServerLife]:
-        """Return the runners that lately said they lack an adapter."""
+        """Return the runners that recently answered that they lack an adapter."""
         now_ms = self._clock.now_ms()
         return [
             life
-            for (life, missed), until_ms in self._missing_until_ms.items()
-            if missed == name and until_ms > now_ms
+            for (life, missing_name), until_ms in self._missing_until_ms.items()
+            if missing_name == name and until_ms > now_ms
         ]
 
     def holders(self, name: str) -> dict[str, int]:
         """Return the version that each runner holds of an adapter."""
         now_ms = self._clock.now_ms()
         return {
-            life: refs[name]
-            for life, refs in self._versions_by_server.items()
-            if name in refs and self._missing_until_ms.get((life, name), 0) <= now_ms
+            life: version_by_name[name]
+            for life, version_by_name in self._versions_by_server.items()
+            if name in version_by_name and self._missing_until_ms.get((life, name), 0) <= now_ms
         }
 
     def forget(self, life: ServerLife) -> None:
--- a/monsoonflow/entry/residency_reporter.py
+++ b/monsoonflow/entry/residency_reporter.py
@@ -1,4 +1,4 @@
-"""What a holder's desk knows of its runners, as it is told to other nodes and to itself."""
+"""Reports which adapters a holder's runners can serve, to its peers and to the holder itself."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from ..placement.slots import RunnerSlots, SlotState
 
 FULL_REPORT_INTERVAL_MS: Final = 100
-"""How often this node is told all again, as often as a quiet holder plans: that mends what its own
-requests have noted of runners meanwhile."""
+"""How often this node itself gets a full report, which is as often as an idle holder plans: it
+corrects what this node's own requests have recorded of runners meanwhile."""
 
 
 class ResidencyReporter:
-    """The word about each runner, kept while it is the same.
+    """Reports the adapters of each runner, and reuses the entries of those that have not changed.
 
-    Made and taken anew after each plan, that of 45 runners took a tenth of all that a busy holder
-    does.
+    Building and applying the entries of 45 runners again after each plan would take a tenth of a
+    busy holder's processor time.
     """
 
     def __init__(self) -> None:
@@ -26,28 +26,34 @@
         self._reported_by_life: dict[ServerLife, ResidentAdapters] = {}
         self._last_full_report_ms: int | None = None
 
-    def report(self, desk: AdapterScheduler) -> tuple[ResidentAdapters, ...]:
-        """Return what all known runners of a desk can serve now."""
-        words = {r.life: self._resident_adapters(r) for r in desk.runners.values() if r.is_known()}
-        self._current_by_life = words
-        return tuple(words.values())
-
-    def report_changes(self, desk: AdapterScheduler, now_ms: int) -> tuple[ResidentAdapters, ...]:
-        """Return what has changed since this was last asked, and all of it at times."""
-        words = self.report(desk)
-        taken, self._reported_by_life = self._reported_by_life, self._current_by_life
+    def report(self, scheduler: AdapterScheduler) -> tuple[ResidentAdapters, ...]:
+        """Return what all known runners of a scheduler can serve now."""
+        entries = {
+            runner.life: self._resident_adapters(runner)
+            for runner in scheduler.runners.values()
+            if runner.is_known()
+        }
+        self._current_by_life = entries
+        return tuple(entries.values())
+
+    def report_changes(
+        self, scheduler: AdapterScheduler, now_ms: int
+    ) -> tuple[ResidentAdapters, ...]:
+        """Return the entries that have changed since the last call, periodically all of them."""
+        entries = self.report(scheduler)
+        previous, self._reported_by_life = self._reported_by_life, self._current_by_life
         if (
             self._last_full_report_ms is None
             or now_ms - self._last_full_report_ms >= FULL_REPORT_INTERVAL_MS
         ):
             self._last_full_report_ms = now_ms
-            return words
-        return tuple(word for word in words if taken.get(word.life) is not word)
+            return entries
+        return tuple(entry for entry in entries if previous.get(entry.life) is not entry)
 
     def _resident_adapters(self, runner: RunnerSlots) -> ResidentAdapters:
         ready = SlotState.READY
-        refs = tuple([seat.ref for seat in runner.slots.values() if seat.state is ready])
-        known = self._current_by_life.get(runner.life)
-        if known is not None and known.adapters == refs:
-            return known
+        refs = tuple([slot.ref for slot in runner.slots.values() if slot.state is ready])
+        current = self._current_by_life.get(runner.life)
+        if current is not None and current.adapters == refs:
+            return current
         return ResidentAdapters(runner.life, refs)
--- a/monsoonflow/entry/settings.py
+++ b/monsoonflow/entry/settings.py
@@ -1,4 +1,4 @@
-"""What one entry process is told about itself."""
+"""The settings of one entry process and the bounds of its deployment."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 def _validate_address(_instance: object, field: attrs.Attribute, value: str) -> None:
-    host, mark, port = value.rpartition(":")
-    if not mark or not host or not port.isdigit() or not 0 < int(port) < 65_536:
+    host, separator, port = value.rpartition(":")
+    if not separator or not host or not port.isdigit() or not 0 < int(port) < 65_536:
         raise ValueError(f"{field.name}: {value!r} is not IP:PORT")
 
 
@@ -22,16 +22,16 @@
 class PeerBounds:
     """Bounds that the operator sets for a deployment.
 
-    :param lease_ms: how long a duty may be held without a renewal.
-    :param grace_ms: from the word to stop to the end of the process.
-    :param drain_ms: how soon a leaving server gets nothing new.
+    :param lease_ms: how long a cell lease may be held without a renewal.
+    :param grace_ms: from the signal to stop to the end of the process.
+    :param drain_ms: how soon a leaving server gets no new requests.
     :param fenced: whether runners refuse orders with an old fencing number.
     :param retry_ratio: retries for each request, fleet-wide, in each ``retry_window_ms``.
     :param retry_reserve: retries on top of that in each window.
     :param version_ms: how soon a new version of an adapter answers.
-    :param address_ttl_ms: the longest time that an address answer may be kept.
+    :param address_ttl_ms: the longest time that an address answer may be cached.
     :param load_window_ms: the window in which loads of base models are counted.
-    :param thaw_ms: how long after a freeze no orders are sent.
+    :param thaw_ms: how long no orders are sent after the process was suspended.
     """
 
     lease_ms: int = attrs.field(default=3_000, validator=_validate_positive)
@@ -51,15 +51,16 @@
 class EntrySettings:
     """The settings of one entry process.
 
-    :param callers_address: where callers' requests come.
+    :param callers_address: where callers' requests arrive.
     :param ready_address: where the platform asks whether this process is ready.
     :param directory_address: where callers ask which address to use.
     :param peer_address: where other entry processes call this one (TCP).
-    :param report_address: where their reports come (UDP).
+    :param report_address: where their heartbeats arrive (UDP).
     :param metrics_address: where metrics are read.
     :param seeds: peer addresses of some nodes, which may be out of date.
-    :param cores: how much processor time this process has, as its card tells it.
-    :param first_start: whether the whole system starts for the first time: nothing came before.
+    :param cores: how much processor time this process has, as announced in its node record.
+    :param first_start: whether the whole system starts for the first time: no retries were spent
+        before.
     """
 
     name: str
@@ -78,7 +79,7 @@
     first_start: bool = True
 
     def immutable_settings(self) -> tuple[str, ...]:
-        """Return what can't change while the process runs."""
+        """Return the settings that can't change while the process runs."""
         return (
             self.name,
             self.callers_address,
--- a/monsoonflow/entry/stall_detector.py
+++ b/monsoonflow/entry/stall_detector.py
@@ -1,4 +1,4 @@
-"""Tells whether this process has been running all the while."""
+"""Detects that this process was suspended."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 _LOGGER = logging.getLogger(__name__)
 CHECK_INTERVAL_MS: Final = 50
 STALL_THRESHOLD_MS: Final = 400
-"""A pause longer than this is no ordinary delay: the process was frozen or its VM suspended."""
+"""A longer gap is no ordinary delay: the process or its VM was suspended."""
 
 LAG_SMOOTHING: Final = 0.05
-"""Weight of one beat in the usual delay: the last second counts."""
+"""Weight of one check in the typical delay: the last second counts."""
 
 
 class StallDetector:
-    """Beats while the process runs; after a freeze, what was believed before counts for nothing.
+    """Checks periodically that the process runs; after a stall, earlier knowledge is not reliable.
 
-    :param thaw_ms: how long after a freeze nothing is ordered: by then news has come in.
-    :ivar lag_ms: how late this process usually runs what is due: the sign of a busy or slow one.
+    :param resume_delay_ms: how long after a stall no orders are sent: by then updates have arrived.
+    :ivar lag_ms: how late this process typically runs tasks that are due: the sign of a busy or
+        slow one.
     """
 
     def __init__(self, clock: Clock, tasks: Tasks, resume_delay_ms: int) -> None:
@@ -34,13 +35,13 @@
         self.lag_ms = 0.0
 
     def run(self) -> None:
-        """Beat for good."""
+        """Check periodically."""
         while True:
             self.check()
             self._tasks.sleep(CHECK_INTERVAL_MS)
 
     def check(self) -> None:
-        """Note that the process runs."""
+        """Record that the process runs; log a stall since the last check."""
         now_ms = self._clock.now_ms()
         gap_ms = now_ms - self._last_check_ms
         if gap_ms > STALL_THRESHOLD_MS:
@@ -50,6 +51,6 @@
         self._last_check_ms = now_ms
 
     def is_steady(self) -> bool:
-        """Tell whether the process runs and has not just been frozen."""
+        """Return whether the process runs and has not just been suspended."""
         now_ms = self._clock.now_ms()
         return now_ms - self._last_check_ms <= STALL_THRESHOLD_MS and now_ms >= self._resumes_at_ms
--- a/monsoonflow/entry/stopping.py
+++ b/monsoonflow/entry/stopping.py
@@ -12,30 +12,32 @@
 
 _LOGGER = logging.getLogger(__name__)
 KEEP_LISTENING_MS: Final = 2_500
-"""Callers may come for so long after the last address answer that named this node."""
+"""Callers may connect for this long after the last address answer that named this node."""
 
 EXIT_MARGIN_MS: Final = 700
-"""What is left of the grace period when the process ends by itself."""
+"""Part of the grace period that is left when the process ends by itself."""
 
 CHECK_INTERVAL_MS: Final = 50
 
 
 def stop_gracefully(daemon: EntryDaemon) -> None:
-    """Give up duties, send callers elsewhere, and end when the last request has been answered."""
+    """Release cell leases, send callers elsewhere, and end when the last request is answered."""
     started_ms = daemon.clock.now_ms()
     log(_LOGGER, events.Stopping(in_progress=daemon.ports.callers.active))
     daemon.is_leaving = True
     end_ms = started_ms + daemon.settings.bounds.grace_ms - EXIT_MARGIN_MS
     daemon.cell_leases.release_all(end_ms - CHECK_INTERVAL_MS)
-    # Told in turns, who answers callers would go on naming this node for seconds: of 195 nodes the
-    # last hears after 3.4 s, and new connections are taken for 2.5 s.
+    # If this went out with the usual heartbeat rounds, nodes that answer callers would go on naming
+    # this node for seconds: the last of 195 nodes receives it after 3.4 s, and new connections are
+    # accepted for 2.5 s.
     daemon.gossip.schedule_broadcast()
     daemon.ports.callers.stop_keeping()
-    outlast_ms = min(end_ms, started_ms + KEEP_LISTENING_MS)
-    while daemon.clock.now_ms() < outlast_ms:
+    listen_until_ms = min(end_ms, started_ms + KEEP_LISTENING_MS)
+    while daemon.clock.now_ms() < listen_until_ms:
         daemon.tasks.sleep(CHECK_INTERVAL_MS)
-    # What came now might not be finished: a long answer would be cut by the end of the grace
-    # period. On connections that callers kept it is refused unrun, new connections are not taken.
+    # A request that arrives now might not be finished: a long answer would be cut off by the end of
+    # the grace period. On connections that callers kept it is refused without being run, and new
+    # connections are not accepted.
     daemon.gateway.accepts_requests = False
     daemon.ports.callers.stop_listening()
     daemon.tasks.sleep(CHECK_INTERVAL_MS)
--- a/monsoonflow/entry/store_follower.py
+++ b/monsoonflow/entry/store_follower.py
@@ -1,4 +1,4 @@
-"""Follows what the operator, the servers and the other nodes keep in the store."""
+"""Follows what the operator, the servers and the other nodes write to the store."""
 
 from __future__ import annotations
 
@@ -31,73 +31,82 @@
 _LOGGER = logging.getLogger(__name__)
 NODE_RECORD_PREFIX = "node/"
 SERVER_WATCHER_RANK_KEY = "watch servers"
-"""By this key nodes are ranked that watch servers."""
+"""Hash key by which nodes are ranked as watchers of servers."""
 
 SERVERS_PAUSE_SHARE = 0.5
-"""Servers write their entries every second or so, nearly always without news: asked at once again,
-each node made four calls a second. Asked again after this share of the time in which a leaving
-server must be known; nodes ask at different moments and tell each other, so it is known sooner.
+"""Pause between requests for servers, as a share of the time within which a leaving server must be
+known. Servers write their entries about every second, nearly always without a relevant change:
+without a pause each node would make four calls a second. Nodes ask at different moments and notify
+each other, so a leaving server is known sooner.
 
-The shares of pause, wait, patience, a second answer and a round of reports add up to the whole: a
-leave is known in time also when one question stays without an answer."""
+The shares of the pause, the wait, the answer timeout, a second answer and a heartbeat round add up
+to the whole: a leaving server is known in time even if one request remains unanswered."""
 
 SERVERS_WAIT_SHARE = 0.1
-"""How long a question for servers waits for changes, as a share of the same time: some entry has
-nearly always changed meanwhile, and a longer wait would only hide that nobody answers."""
+"""How long a request for servers waits for changes, as a share of the same time: some entry has
+nearly always changed meanwhile, and a longer wait would only hide that the store does not
+answer."""
 
 SERVERS_MIN_ANSWER_TIMEOUT_SHARE = 0.15
-"""How much longer its answer is waited for while answers come soon."""
+"""How much longer its answer is waited for while the store answers quickly, as a share of the same
+time."""
 
 SERVERS_MAX_ANSWER_TIMEOUT_SHARE = 0.5
-"""The same in the end, for a store that has become slow. With the pause of an outage this is how
-late the end of a silence is noticed: what is missing then stays in use for a moment, and a server
-that leaves after it must still be known in time."""
+"""The same for a store that has become slow. Together with the pause during an outage this is how
+late the end of an outage is noticed: servers whose entries are missing then stay in use for a
+moment, and a server that leaves after the outage must still be known in time."""
 
 MIN_RESTART_INTERVAL_MS = 3_000
-"""How often other nodes' word that they have lost the store makes this one ask anew, at most: a
-store that turns a third of the machines away, one after the other, costs the others two calls each
-in that time."""
+"""Shortest interval between two restarts of this node's waiting requests because peers have lost
+the store: a store that rejects a third of the machines, one after the other, costs each of the
+others two calls in that time."""
 
 SINGLE_OUTAGE_REPORT_MAX_NODES = 13
-"""In a fleet of so many nodes one that has lost the store makes the others ask anew."""
+"""In a fleet of at most this many nodes a single node that has lost the store makes the others
+restart their waiting requests."""
 
 MIN_OUTAGE_REPORTS = 3
-"""In a larger one so many: all six that watch the store notice its silence, and one machine that is
-cut off from it would cost each of the others two calls."""
+"""In a larger fleet this many nodes must have lost it: all six that watch the store notice its
+outage, and a single machine that is cut off from it would cost each of the others two calls."""
 
 MISSING_GRACE_MS = 2_900
-"""How long after the last question that the store left unanswered a missing entry is doubted. The
-store returned after it; entries of living servers are back two seconds after its return, and from
-three seconds after it on a server that is gone must not be used. Counted from when the return is
-noticed, it would be used for up to two seconds more."""
+"""How long after the last request that the store left unanswered a missing entry counts as
+unconfirmed. The store returned after that request; entries of live servers are back two seconds
+after its return, and from three seconds after it a server that is gone must not be used. Counted
+from when the return is noticed, such a server would be used for up to two seconds more."""
 
 UNCONFIRMED_PAUSE_MS = 250
-"""Pause between questions while entries are doubted: one that is back must be read in time."""
+"""Pause between requests while entries are unconfirmed: an entry that is back must be read in
+time."""
 
 MIN_OUTAGE_MS = 500
-"""An outage that was noticed for less is no reason to doubt that an entry is gone: entries lapse
-after two seconds or more, and a silence is noticed within one and a half."""
+"""An outage that ended sooner than this after it was noticed is no reason to treat a missing entry
+as unconfirmed: entries expire after two seconds or more, and an outage is noticed within one and a
+half."""
 
 FULL_RATE_NODES = 7
-"""So many nodes ask the store at their own pace. In a larger fleet each pauses longer, so that all
-together ask as often as these: 90 nodes made 98 calls a second, most of them for servers. Whoever
-finds news tells the others, which then ask at once; a node that hears nobody goes back to its own
-pace."""
+"""This many nodes ask the store at the full rate. In a larger fleet each pauses longer, so that all
+together ask as often as these: 90 nodes would otherwise make 98 calls a second, most of them for
+servers. A node that finds a change notifies its peers, which then ask at once; a node that receives
+no heartbeats returns to the full rate."""
 
 SERVER_WATCHERS = 6
-"""So many nodes ask for servers at their own pace; a leave is known within one pause of theirs, and
-they tell everybody at once. Of 90 nodes that each asked now and then, all had asked together and
-nobody for 13 s when a server left. Fifty of ninety dead at once leave none of six in 3 of 100."""
+"""This many nodes ask for servers at the full rate: a leaving server is known within one of their
+pauses, and they notify all nodes at once. If each of 90 nodes asked now and then instead, all might
+ask together and none for 13 s when a server leaves. If fifty of ninety nodes fail at once, none of
+the six is left in 3 of 100 cases."""
 
 LAST_RESORT_FACTOR = 7
-"""The others ask so many times more seldom than if all did their part: they are told."""
+"""The other nodes pause this many times longer than if all shared the requests: they are
+notified."""
 
 OWN_PAUSE_MS = 2_500
-"""A holder renews its duty every second; who holds it is told by reports between nodes."""
+"""Pause between requests for node records and cell leases. A holder renews its lease every second,
+but nodes learn from heartbeats who holds it."""
 
 
 class Decoders(Protocol):
-    """Decodes rows that others write; the names of rows are theirs."""
+    """Decodes rows that others write; how these are named is up to the platform."""
 
     operator_collection: str
     server_collection: str
@@ -107,25 +116,25 @@
         """Return the routes that a row's bytes hold, or why they can't be used."""
 
     def routes(self, key: str, body: bytes) -> RouteTable | str | None:
-        """Return the routes; a text says why not; ``None``: the row holds something else."""
+        """Return the routes, or why they can't be used; ``None``: the row is another one."""
 
     def adapter_version(self, key: str, body: bytes) -> AdapterRef | str | None:
-        """Return a named adapter version; a text says why not; ``None``: something else."""
+        """Return a published version, or why it can't be used; ``None``: the row is another one."""
 
     def server(self, key: str, body: bytes) -> BackendServer | str:
-        """Return a backend server's entry; a text says why not."""
+        """Return a backend server's entry, or why it can't be used."""
 
 
 @attrs.define(slots=True)
 class StoreWatches:
-    """The watches of one node."""
+    """The watches of one node, one for each collection in the store."""
 
     operator: CollectionWatch
     servers: CollectionWatch
     own: CollectionWatch
 
     def is_loaded(self) -> bool:
-        """Tell whether everything has been read once."""
+        """Return whether all rows of the operator and the servers have been read once."""
         return self.operator.loaded and self.servers.loaded
 
     def all(self) -> tuple[CollectionWatch, ...]:
@@ -133,28 +142,34 @@
         return (self.operator, self.servers, self.own)
 
     def reaches_store(self) -> bool:
-        """Tell whether the store answers this node.
+        """Return whether the store answers this node.
 
-        A watch that rests, or whose question waits, says nothing of a store that another one has
-        found silent since.
+        A watch that pauses, or whose request waits, says nothing about a store that another watch
+        has found unresponsive since.
         """
         lost_ms = [w.lost_since_ms for w in self.all() if w.lost_since_ms is not None]
         return not lost_ms or any(watch.answered_since(min(lost_ms)) for watch in self.all())
 
     def restart_waiting_requests(self) -> None:
-        """Ask anew whatever waits for changes: the store may have been silent since it was asked.
+        """Restart all requests that wait for changes: the store may have been unresponsive since.
 
-        Questions about the operator's rows wait for 20 s. Asked at the beginning of a silence of
-        six seconds, they left a node without new routes and versions for 12 s after its end.
+        Requests for the operator's rows wait for 20 s. If they were sent at the beginning of an
+        outage of six seconds, a node would be without new routes and versions for 12 s after its
+        end.
         """
         for watch in self.all():
             watch.doubt()
 
 
 class StoreFollower:
-    """Keeps beliefs up to date from the store.
-
-    :ivar watches: whether the others rely on this node to ask for servers.
+    """Keeps the cluster state up to date from the store.
+
+    :param on_own_row: takes each changed row of the nodes' collection that is not a node record.
+    :param on_server_departed: called when a server no longer takes work.
+    :param on_change: called when there is something that peers should know.
+    :param on_departure: called in addition when a server departed, which all peers must know at
+        once.
+    :ivar watches_servers: whether the peers rely on this node to ask for servers.
     """
 
     def __init__(
@@ -190,16 +205,16 @@
     def start(
         self, open_feed: Callable[[], ChangeFeed], tasks: Tasks, drain_ms: int
     ) -> StoreWatches:
-        """Begin to follow.
+        """Start to follow the store.
 
-        :param feed: returns a feed with a connection of its own.
+        :param open_feed: returns a feed with a connection of its own.
         :param drain_ms: how soon a leaving server must be known.
         """
-        names = self._decoders
-        followed = StoreWatches(
+        decoders = self._decoders
+        watches = StoreWatches(
             CollectionWatch(
                 open_feed(),
-                names.operator_collection,
+                decoders.operator_collection,
                 tasks,
                 self._clock,
                 self._handle_operator_row,
@@ -210,14 +225,15 @@
             ),
             CollectionWatch(
                 open_feed(),
-                names.server_collection,
+                decoders.server_collection,
                 tasks,
                 self._clock,
                 self._handle_server_row,
                 self._handle_store_return,
                 lambda: self._servers_pause_ms(int(drain_ms * SERVERS_PAUSE_SHARE)),
-                # Waited for as long as any question, 21.5 s, one that was asked while the store was
-                # silent left all nodes deaf to leaves for 16 s after its return.
+                # With the default limits, 21.5 s in total, a request sent while the store was
+                # unresponsive would keep all nodes from noticing leaving servers for 16 s after its
+                # return.
                 int(drain_ms * SERVERS_WAIT_SHARE),
                 Patience(
                     int(drain_ms * SERVERS_MIN_ANSWER_TIMEOUT_SHARE),
@@ -227,7 +243,7 @@
             ),
             CollectionWatch(
                 open_feed(),
-                names.own_collection,
+                decoders.own_collection,
                 tasks,
                 self._clock,
                 self._handle_own_row,
@@ -238,11 +254,11 @@
                 phase_ms=SILENT_CYCLE_MS * 2 // 3,
             ),
         )
-        self._store_watches = followed
+        self._store_watches = watches
         self._tasks = tasks
-        for watch in followed.all():
+        for watch in watches.all():
             tasks.spawn(watch.run)
-        return followed
+        return watches
 
     def _restart_waiting_requests(self) -> None:
         self._store_watches.restart_waiting_requests()
@@ -251,62 +267,71 @@
         for watch in self._store_watches.all():
             watch.answers_again()
 
-    def handle_heartbeat(self, report: Heartbeat) -> None:
-        """Take what another node says of the store: one that has lost it makes this one ask.
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Handle a heartbeat: if the peer has lost the store, this node restarts its requests.
 
-        Of a large fleet only some nodes ask often; the others would not notice a silence.
+        In a large fleet only some nodes ask often; the others would not notice an outage.
         """
-        lost = not report.is_store_reachable
-        news = lost and report.name not in self._peers_without_store
-        if lost:
-            self._peers_without_store.add(report.name)
+        has_lost_store = not heartbeat.is_store_reachable
+        is_news = has_lost_store and heartbeat.name not in self._peers_without_store
+        if has_lost_store:
+            self._peers_without_store.add(heartbeat.name)
         else:
-            self._peers_without_store.discard(report.name)
+            self._peers_without_store.discard(heartbeat.name)
         now_ms = self._clock.now_ms()
-        alike = (
+        is_outage_likely = (
             self._view.node_count() <= SINGLE_OUTAGE_REPORT_MAX_NODES
             or len(self._peers_without_store) >= MIN_OUTAGE_REPORTS
         )
-        if news and alike and now_ms >= self._next_restart_ms and self._store_watches is not None:
+        if (
+            is_news
+            and is_outage_likely
+            and now_ms >= self._next_restart_ms
+            and self._store_watches is not None
+        ):
             self._next_restart_ms = now_ms + MIN_RESTART_INTERVAL_MS
             self._store_watches.restart_waiting_requests()
 
     def _servers_pause_ms(self, pause_ms: int) -> int:
-        """Return the pause between questions for servers: a watcher's, or a last resort's.
+        """Return the pause between requests for servers, of a watcher or as a last resort.
 
-        Who watches follows from who is heard, so that a silent one is replaced without a word.
+        The watchers are ranked among the nodes that send heartbeats, so that a silent one is
+        replaced without any message.
         """
         if self._cluster_state.server_registry.has_missing():
             return UNCONFIRMED_PAUSE_MS
         now_ms = self._clock.now_ms()
         shared_ms = self._shared_pause_ms(pause_ms)
-        # A node is told by a dozen others in each round: unheard for three it relies on nobody,
-        # though each of them may still be alive and have told others.
+        # A node receives the heartbeats of a dozen peers in each round. After three rounds without
+        # any it relies on nobody, though each of them may still be alive and have sent its
+        # heartbeats to others.
         self.watches_servers = shared_ms == pause_ms
         if self.watches_servers or not self._view.has_received_within(
             now_ms, SILENT_AFTER_MISSED * HEARTBEAT_INTERVAL_MS
         ):
             return pause_ms
         candidates = [
-            report.name
-            for report in self._view.heartbeats(now_ms)
-            if report.is_store_reachable and not report.is_leaving
+            heartbeat.name
+            for heartbeat in self._view.heartbeats(now_ms)
+            if heartbeat.is_store_reachable and not heartbeat.is_leaving
         ]
-        own = weight(SERVER_WATCHER_RANK_KEY, self._view.name)
-        before = sum(weight(SERVER_WATCHER_RANK_KEY, name) > own for name in candidates)
-        self.watches_servers = before < SERVER_WATCHERS
+        own_weight = weight(SERVER_WATCHER_RANK_KEY, self._view.name)
+        higher_ranked = sum(
+            weight(SERVER_WATCHER_RANK_KEY, name) > own_weight for name in candidates
+        )
+        self.watches_servers = higher_ranked < SERVER_WATCHERS
         return pause_ms if self.watches_servers else shared_ms * LAST_RESORT_FACTOR
 
     def _shared_pause_ms(self, pause_ms: int) -> int:
-        """Return a pause with which this node does its part of the asking.
+        """Return the pause with which this node does its share of the requests.
 
-        :param pause_ms: of a node in a small fleet.
+        :param pause_ms: the pause of a node in a small fleet.
         """
-        heard = len(self._view.heartbeats(self._clock.now_ms()))
-        return int(pause_ms * max(1.0, (heard + 1) / FULL_RATE_NODES))
+        peer_count = len(self._view.heartbeats(self._clock.now_ms()))
+        return int(pause_ms * max(1.0, (peer_count + 1) / FULL_RATE_NODES))
 
     def snapshot(self) -> bytes:
-        """Return all rows that this node has taken, for a node that can't read them itself."""
+        """Return all rows that this node has applied, for a node that can't read them itself."""
         rows = [
             [kind, key, base64.b64encode(body).decode()]
             for kind, bodies in self._bodies_by_kind.items()
@@ -315,24 +340,24 @@
         return orjson.dumps(rows)
 
     def apply_snapshot(self, data: bytes) -> bool:
-        """Take another node's rows; return whether they could be read.
+        """Apply a peer's rows; return whether there were any that could be read.
 
-        Versions of rows are not taken with them: what the store says later goes first.
+        The versions of the rows are not applied: what the store sends later takes precedence.
         """
-        takers = {
+        handlers = {
             "operator": self._handle_operator_row,
             "servers": self._handle_server_row,
             "own": self._handle_own_row,
         }
         try:
             rows = [
-                (takers[kind], ChangedRow(str(key), 0, base64.b64decode(body)))
+                (handlers[kind], ChangedRow(str(key), 0, base64.b64decode(body)))
                 for kind, key, body in orjson.loads(data)
             ]
         except (ValueError, KeyError, TypeError):
             return False
-        for take, row in rows:
-            take(row)
+        for handle, row in rows:
+            handle(row)
         return bool(rows)
 
     def _remember_row(self, kind: str, row: ChangedRow) -> None:
@@ -345,21 +370,21 @@
         self._remember_row("operator", row)
         if row.body is None:
             return
-        table = self._decoders.routes(row.key, row.body)
-        if isinstance(table, RouteTable):
-            if self._cluster_state.apply_route_table(table, row.body, "store"):
+        routes = self._decoders.routes(row.key, row.body)
+        if isinstance(routes, RouteTable):
+            if self._cluster_state.apply_route_table(routes, row.body, "store"):
                 self._on_change()
             return
-        ref = self._decoders.adapter_version(row.key, row.body) if table is None else table
+        ref = self._decoders.adapter_version(row.key, row.body) if routes is None else routes
         if isinstance(ref, AdapterRef):
             if self._cluster_state.record_version(ref, "store", self._published_after_ms()):
                 self._on_change()
         elif ref is not None:
-            # The last good one stays in force.
+            # The last valid value stays in force.
             log(_LOGGER, events.UnusableRow(row=row.key, cause=ref))
 
     def _published_after_ms(self) -> int:
-        """Return when the version that is being taken was named, at the earliest."""
+        """Return when the version that is being applied was published, at the earliest."""
         at_ms = (
             self._store_watches.operator.changed_after_ms()
             if self._store_watches is not None
@@ -370,23 +395,24 @@
     def _handle_server_row(self, row: ChangedRow) -> None:
         self._remember_row("servers", row)
         now_ms = self._clock.now_ms()
-        book = self._cluster_state.server_registry
-        before = book.life_of(row.key)
-        took_work = before is not None and book.is_accepting_work(before)
+        registry = self._cluster_state.server_registry
+        previous_life = registry.life_of(row.key)
+        took_work = previous_life is not None and registry.is_accepting_work(previous_life)
         if row.body is None:
-            book.remove(row.key, now_ms)
+            registry.remove(row.key, now_ms)
         else:
             server = self._decoders.server(row.key, row.body)
             if isinstance(server, str):
-                book.mark_unreadable(row.key, server)
+                registry.mark_unreadable(row.key, server)
             else:
-                book.put(server, now_ms, row.version)
-        # Told once: a server that leaves writes its entry every second for many more.
-        if took_work and not book.is_accepting_work(before):
-            self._on_server_departed(before)
+                registry.put(server, now_ms, row.version)
+        # Announced only once: a leaving server goes on writing its entry every second for many
+        # seconds.
+        if took_work and not registry.is_accepting_work(previous_life):
+            self._on_server_departed(previous_life)
             self._on_change()
             self._on_departure()
-        elif before != book.life_of(row.key):
+        elif previous_life != registry.life_of(row.key):
             self._on_change()
 
     def _handle_store_return(self) -> None:
@@ -413,15 +439,15 @@
         if row.body is None:
             self._view.remove_record(name)
             return
-        card = decode_node_record(row.body)
-        if isinstance(card, str):
-            log(_LOGGER, events.UnusableRow(row=row.key, cause=card))
+        record = decode_node_record(row.body)
+        if isinstance(record, str):
+            log(_LOGGER, events.UnusableRow(row=row.key, cause=record))
             return
-        self._view.add_record(card)
+        self._view.add_record(record)
 
 
 class NodeRecordFields(Struct):
-    """The value of a node's row."""
+    """The stored value of a node record."""
 
     name: str
     boot: str
@@ -433,7 +459,7 @@
 
 
 def decode_node_record(body: bytes) -> NodeRecord | str:
-    """Return a node's card, or why it can't be used."""
+    """Return a node record, or why it can't be used."""
     fields = read(body, NodeRecordFields)
     if isinstance(fields, str):
         return fields
@@ -449,7 +475,7 @@
 
 
 def encode_node_record(node_record: NodeRecord) -> dict[str, str | float]:
-    """Return the value of a node's row."""
+    """Return the stored value of a node record."""
     return {
         "name": node_record.name,
         "boot": node_record.boot,
