--- a/measure/entry.py
+++ b/measure/entry.py
@@ -64,8 +64,8 @@
         for number in range(REQUESTS):
             fleet.ask(node, "/look/x", f"r{number}")
             # As the writer does: lines that are kept would be looked through by the collector.
-            log_bytes += sum(map(len, handler.lines))
-            handler.lines.clear()
+            log_bytes += sum(map(len, handler.queued_lines))
+            handler.queued_lines.clear()
 
     def streams() -> None:
         for number in range(STREAMS):
--- a/monsoonflow/logs/events/__init__.py
+++ b/monsoonflow/logs/events/__init__.py
@@ -4,7 +4,7 @@
 still has, ``took_ms`` the time since it arrived.
 """
 
-from .duties import (
+from .cell_leases import (
     DutyInherited,
     DutyLost,
     DutyReleased,
--- a/monsoonflow/logs/lines.py
+++ b/monsoonflow/logs/lines.py
@@ -16,15 +16,15 @@
 from . import events
 from .write import log
 
-MAX_WAITING_LINES: Final = 4_000
+MAX_QUEUED_LINES: Final = 4_000
 """Lines that wait for a slow reader; about a megabyte."""
 
-WRITE_EVERY_S: Final = 0.2
+WRITE_INTERVAL_S: Final = 0.2
 """Pause between writes: lines of that time leave in few system calls. Of a node's processor time on
 the busiest days logging takes 2.7 %; with 0.05 s it took 7.7 %. A process that is killed takes the
 lines of that time with it."""
 
-PIPE_BYTES: Final = 4_096
+MAX_PIPE_WRITE_BYTES: Final = 4_096
 """A pipe that says it is writable takes this much without blocking (``PIPE_BUF``)."""
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.lines: deque[bytes] = deque()
+        self.queued_lines: deque[bytes] = deque()
         self.dropped_by_level: Counter[str] = Counter()
         self.on_drop: Callable[[], None] = lambda: None
 
@@ -43,45 +43,47 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a line."""
-        if len(self.lines) >= MAX_WAITING_LINES and record.levelno < logging.ERROR:
+        if len(self.queued_lines) >= MAX_QUEUED_LINES and record.levelno < logging.ERROR:
             self.dropped_by_level[record.levelname.lower()] += 1
             self.on_drop()
             return
-        self.lines.append((self.format(record) + "\n").encode("utf-8", "replace"))
+        self.queued_lines.append((self.format(record) + "\n").encode("utf-8", "replace"))
 
-    def write_some(self, file: int) -> bool:
+    def write_available(self, file_descriptor: int) -> bool:
         """Write what the reader takes now; return whether all is written."""
-        while self.lines:
-            if not select.select([], [file], [], 0)[1]:
+        while self.queued_lines:
+            if not select.select([], [file_descriptor], [], 0)[1]:
                 return False
             chunk = bytearray()
-            while self.lines and len(chunk) + len(self.lines[0]) <= PIPE_BYTES:
-                chunk += self.lines.popleft()
+            while (
+                self.queued_lines and len(chunk) + len(self.queued_lines[0]) <= MAX_PIPE_WRITE_BYTES
+            ):
+                chunk += self.queued_lines.popleft()
             if not chunk:
-                chunk += self.lines.popleft()[: PIPE_BYTES - 1] + b"\n"
-            os.write(file, chunk)
+                chunk += self.queued_lines.popleft()[: MAX_PIPE_WRITE_BYTES - 1] + b"\n"
+            os.write(file_descriptor, chunk)
         return True
 
 
-def start(level: str) -> QueueHandler:
+def start_logging(level: str) -> QueueHandler:
     """Send all log lines to standard output through a queue."""
     handler = QueueHandler()
     handler.setFormatter(LineFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
-    gevent.spawn(_write_for_good, handler)
+    gevent.spawn(_write_loop, handler)
     return handler
 
 
-def _write_for_good(handler: QueueHandler) -> None:
+def _write_loop(handler: QueueHandler) -> None:
     file = sys.stdout.fileno()
     logger = logging.getLogger(__name__)
     while True:
-        gevent.sleep(WRITE_EVERY_S)
+        gevent.sleep(WRITE_INTERVAL_S)
         try:
-            written = handler.write_some(file)
+            written = handler.write_available(file)
         except OSError:
             # Nobody reads any more; the process goes on without its log.
-            handler.lines.clear()
+            handler.queued_lines.clear()
             continue
         if written and handler.dropped_by_level:
             dropped, handler.dropped_by_level = handler.dropped_by_level, Counter()
@@ -92,6 +94,6 @@
 def flush(handler: QueueHandler) -> None:
     """Write the last lines before the process ends, as far as the reader takes them."""
     try:
-        handler.write_some(sys.stdout.fileno())
+        handler.write_available(sys.stdout.fileno())
     except OSError:
-        handler.lines.clear()
+        handler.queued_lines.clear()
--- a/monsoonflow/logs/write.py
+++ b/monsoonflow/logs/write.py
@@ -13,33 +13,35 @@
 
 
 @lru_cache(maxsize=256)
-def name_of(event_type: type[Event]) -> str:
+def event_name(event_type: type[Event]) -> str:
     """Return the name of an event in log lines.
 
     >>> from .events import ServerCame
-    >>> name_of(ServerCame)
+    >>> event_name(ServerCame)
     'server_came'
     """
     return re.sub(r"(?<!^)(?=[A-Z])", "_", event_type.__name__).lower()
 
 
 @lru_cache(maxsize=256)
-def _fields(event_type: type[Event]) -> tuple[str, ...]:
+def _field_names(event_type: type[Event]) -> tuple[str, ...]:
     return tuple(field.name for field in attrs.fields(event_type))
 
 
-def line(event: Event) -> str:
+def format_event(event: Event) -> str:
     """Return an event as key=value pairs; fields without a value are left out.
 
     >>> from .events import ServerLeaves
-    >>> line(ServerLeaves("i-1", "said so"))
+    >>> format_event(ServerLeaves("i-1", "said so"))
     'event=server_leaves server=i-1 cause="said so"'
     """
     kind = type(event)
-    return pairs(event=name_of(kind), **{name: getattr(event, name) for name in _fields(kind)})
+    return pairs(
+        event=event_name(kind), **{name: getattr(event, name) for name in _field_names(kind)}
+    )
 
 
 def log(logger: logging.Logger, event: Event) -> None:
     """Write an event, when its level is asked for."""
     if logger.isEnabledFor(event.LEVEL):
-        logger.log(event.LEVEL, "%s", line(event))
+        logger.log(event.LEVEL, "%s", format_event(event))
--- a/monsoonflow/platform/__main__.py
+++ b/monsoonflow/platform/__main__.py
@@ -26,12 +26,12 @@
     unknown = sorted(flags.keys() - {setting.name for setting in SCHEMA})
     values = SettingError(unknown[0], "unknown") if unknown else resolve(SCHEMA, flags, environ)
     if isinstance(values, SettingError):
-        return _refuse(values)
+        return _print_setting_error(values)
     file = SettingsFile(values["node-file"].value, values["metrics-port"].value)
     settings = file.read()
     if isinstance(settings, SettingError):
-        return _refuse(settings)
-    handler = lines.start(values["log-level"].value)
+        return _print_setting_error(settings)
+    handler = lines.start_logging(values["log-level"].value)
     outside = PlatformOutside(settings, MonotonicClock())
     daemon = EntryDaemon(settings, outside, file.reread)
     handler.on_drop = daemon.metrics.log_lines_dropped.inc
@@ -40,8 +40,8 @@
     return status
 
 
-def _refuse(error: SettingError) -> int:
-    print(error.line(), file=sys.stderr)
+def _print_setting_error(setting_error: SettingError) -> int:
+    print(setting_error.line(), file=sys.stderr)
     return EXIT_USAGE
 
 
--- a/monsoonflow/platform/directory.py
+++ b/monsoonflow/platform/directory.py
@@ -10,26 +10,26 @@
 from ..transport.models import Request
 from ..transport.server import Reply
 
-JSON = [(b"Content-Type", b"application/json")]
+JSON_HEADERS = [(b"Content-Type", b"application/json")]
 
-MOST_FIELDS = 16
+MAX_QUERY_FIELDS = 16
 """A question with more fields than that is answered as one that names no zone."""
 
 
-def readiness(ready: Callable[[], bool]) -> Callable[[Request, Reply], None]:
+def readiness_handler(is_ready: Callable[[], bool]) -> Callable[[Request, Reply], None]:
     """Return the handler of the readiness address."""
 
     def handle(request: Request, reply: Reply) -> None:
         if request.target.partition(b"?")[0] != b"/v1/readiness":
             reply.whole(404, [])
             return
-        reply.whole(200 if ready() else 503, [])
+        reply.whole(200 if is_ready() else 503, [])
 
     return handle
 
 
-def directory(
-    choose: Callable[[str | None], tuple[list[str], float]],
+def directory_handler(
+    choose_addresses: Callable[[str | None], tuple[list[str], float]],
 ) -> Callable[[Request, Reply], None]:
     """Return the handler of the directory address.
 
@@ -42,18 +42,20 @@
         if path != b"/v1/resolve":
             reply.whole(404, [])
             return
-        addresses, ttl_s = choose(_zone(query))
+        addresses, ttl_s = choose_addresses(_zone_of_query(query))
         if not addresses:
             reply.whole(503, [(b"Retry-After", b"0.3")])
             return
-        reply.whole(200, JSON, orjson.dumps({"addresses": addresses, "ttlS": ttl_s}))
+        reply.whole(200, JSON_HEADERS, orjson.dumps({"addresses": addresses, "ttlS": ttl_s}))
 
     return handle
 
 
-def _zone(query: bytes) -> str | None:
+def _zone_of_query(query: bytes) -> str | None:
     """Return the zone that a question names; one without a readable zone names none."""
     try:
-        return parse_qs(query.decode("latin-1"), max_num_fields=MOST_FIELDS).get("zone", [None])[0]
+        return parse_qs(query.decode("latin-1"), max_num_fields=MAX_QUERY_FIELDS).get(
+            "zone", [None]
+        )[0]
     except ValueError:
         return None
--- a/monsoonflow/platform/engine.py
+++ b/monsoonflow/platform/engine.py
@@ -25,7 +25,7 @@
 from ..transport.client import Answer, Pools, call
 from ..transport.models import Header, Lost
 from .schema import ReportFields
-from .servers import adapter_ref, held_models, life_of
+from .servers import decode_held_models, parse_adapter_ref, to_server_life
 
 _LOGGER = logging.getLogger(__name__)
 ORDER_TIMEOUT_MS: Final = 120
@@ -35,7 +35,7 @@
 REPORT_TIMEOUT_MS: Final = 700
 
 
-class EngineControl:
+class PlatformRunnerControl:
     """Sends orders to runners and reads their reports."""
 
     def __init__(self, clock: Clock) -> None:
@@ -50,7 +50,7 @@
             return Gone()
         if answer.head.status != 200:
             return None
-        report = _report(life, answer.body)
+        report = _decode_report(life, answer.body)
         if isinstance(report, str):
             log(_LOGGER, events.UnusableReport(server=life, cause=report))
             return None
@@ -104,18 +104,18 @@
         return call(self._pools, address, method, target, body, timeout_ms, tuple(headers))
 
 
-def _report(asked: ServerLife, body: bytes) -> RunnerReport | str:
+def _decode_report(expected_life: ServerLife, body: bytes) -> RunnerReport | str:
     """Return what a runner says of itself, or why it can't be used."""
     fields = read(body, ReportFields)
     if isinstance(fields, str):
         return fields
-    life = life_of(asked.server_id, fields.born)
-    if life.born_ms is None and asked.born_ms is not None:
+    life = to_server_life(expected_life.server_id, fields.born)
+    if life.born_ms is None and expected_life.born_ms is not None:
         return "born is missing"
-    models = held_models(fields.models)
+    models = decode_held_models(fields.models)
     if isinstance(models, str):
         return models
-    incoming = [adapter_ref(text) for text in fields.incoming]
+    incoming = [parse_adapter_ref(text) for text in fields.incoming]
     unreadable = next((ref for ref in incoming if isinstance(ref, str)), None)
     if unreadable is not None:
         return unreadable
--- a/monsoonflow/platform/headers.py
+++ b/monsoonflow/platform/headers.py
@@ -8,17 +8,17 @@
 from ..transport.const import ONE_CONNECTION_ONLY
 from ..transport.models import AnswerHead, Header, Request
 
-REQUEST_ID: Final = b"x-request-id"
-DEADLINE: Final = b"x-deadline-ms"
-MODEL: Final = b"x-model"
-TOKENS: Final = b"x-token-count"
-PREFIX: Final = b"x-prompt-prefix"
-LENGTH_HINT: Final = b"x-length-hint"
-LAST_EVENT: Final = b"last-event-id"
-SIGNATURE: Final = b"x-server-signature"
-NOT_RUN: Final = b"x-not-executed"
-
-SET_HERE_ONLY: Final = frozenset(
+REQUEST_ID_HEADER: Final = b"x-request-id"
+DEADLINE_HEADER: Final = b"x-deadline-ms"
+MODEL_HEADER: Final = b"x-model"
+TOKEN_COUNT_HEADER: Final = b"x-token-count"
+PROMPT_PREFIX_HEADER: Final = b"x-prompt-prefix"
+LENGTH_HINT_HEADER: Final = b"x-length-hint"
+LAST_EVENT_ID_HEADER: Final = b"last-event-id"
+SIGNATURE_HEADER: Final = b"x-server-signature"
+NOT_EXECUTED_HEADER: Final = b"x-not-executed"
+
+NODE_SET_HEADERS: Final = frozenset(
     {
         b"x-expect-instance",
         b"x-expect-version",
@@ -29,16 +29,32 @@
         b"kv-from",
         b"kv-fetch",
         b"wait-ms",
-        DEADLINE,
-        LAST_EVENT,
+        DEADLINE_HEADER,
+        LAST_EVENT_ID_HEADER,
     }
 )
 """What a caller says of these is dropped: they are orders to a server, or set anew at each send."""
 
-NEEDED: Final = frozenset({b"host", REQUEST_ID, MODEL, TOKENS, PREFIX, LENGTH_HINT})
+REQUIRED_HEADERS: Final = frozenset(
+    {
+        b"host",
+        REQUEST_ID_HEADER,
+        MODEL_HEADER,
+        TOKEN_COUNT_HEADER,
+        PROMPT_PREFIX_HEADER,
+        LENGTH_HINT_HEADER,
+    }
+)
 """A caller can't have these dropped by naming them in its ``Connection`` header."""
 
-SINGLE: Final = (REQUEST_ID, DEADLINE, MODEL, TOKENS, PREFIX, LAST_EVENT)
+SINGLE_VALUE_HEADERS: Final = (
+    REQUEST_ID_HEADER,
+    DEADLINE_HEADER,
+    MODEL_HEADER,
+    TOKEN_COUNT_HEADER,
+    PROMPT_PREFIX_HEADER,
+    LAST_EVENT_ID_HEADER,
+)
 
 
 class HeaderDialect:
@@ -49,25 +65,29 @@
         values: dict[bytes, bytes] = {}
         for name, value in request.headers:
             key = name.lower()
-            if key in values and key in SINGLE:
+            if key in values and key in SINGLE_VALUE_HEADERS:
                 return Malformed(f"{key.decode()} is given twice")
             values[key] = value
-        if not values.get(REQUEST_ID):
+        if not values.get(REQUEST_ID_HEADER):
             return Malformed("a request id is needed")
         try:
-            return self._call(request, values)
+            return self._decode_call(request, values)
         except ValueError as error:
             return Malformed(f"malformed header: {error}")
 
-    def _call(self, request: Request, values: dict[bytes, bytes]) -> Call:
-        model, _, adapter = values.get(MODEL, b"").decode("ascii").partition("/")
-        prompt, _, output = values.get(TOKENS, b"0,0").decode("ascii").partition(",")
-        deadline = values.get(DEADLINE)
-        hint = values.get(LENGTH_HINT)
-        last_part = values.get(PREFIX, b"").rpartition(b",")[2].partition(b":")[0]
+    def _decode_call(self, request: Request, value_by_name: dict[bytes, bytes]) -> Call:
+        model, _, adapter = value_by_name.get(MODEL_HEADER, b"").decode("ascii").partition("/")
+        prompt, _, output = (
+            value_by_name.get(TOKEN_COUNT_HEADER, b"0,0").decode("ascii").partition(",")
+        )
+        deadline = value_by_name.get(DEADLINE_HEADER)
+        hint = value_by_name.get(LENGTH_HINT_HEADER)
+        last_part = (
+            value_by_name.get(PROMPT_PREFIX_HEADER, b"").rpartition(b",")[2].partition(b":")[0]
+        )
         return Call(
-            request_id=values[REQUEST_ID].decode("latin-1"),
-            host=values[b"host"].decode("latin-1"),
+            request_id=value_by_name[REQUEST_ID_HEADER].decode("latin-1"),
+            host=value_by_name[b"host"].decode("latin-1"),
             path=request.target.partition(b"?")[0].decode("latin-1"),
             deadline_ms=None if deadline is None else max(0, int(float(deadline))),
             model=model or None,
@@ -76,12 +96,12 @@
             max_output_tokens=int(output or 0),
             length_hint=int(float(hint)) if hint else None,
             session=last_part.decode("latin-1").strip() or None,
-            last_event_id=values.get(LAST_EVENT),
+            last_event_id=value_by_name.get(LAST_EVENT_ID_HEADER),
         )
 
     def forwarded_head(self, request: Request, forwarded: ForwardedRequest) -> bytes:
         """Return the head of the request to a server: the caller's, less what is not for it."""
-        dropped = self._dropped(request.headers)
+        dropped = self._dropped_names(request.headers)
         lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
         lines += [
             b"%s: %s" % (name, value)
@@ -102,17 +122,17 @@
 
     def read_answer(self, head: AnswerHead) -> AnswerTerms:
         """Return what a server says of its answer."""
-        request_id = head.value(REQUEST_ID)
+        request_id = head.value(REQUEST_ID_HEADER)
         return AnswerTerms(
             request_id=None if request_id is None else request_id.decode("latin-1"),
-            is_signed=bool(head.value(SIGNATURE)),
-            not_run=head.value(NOT_RUN) is not None or head.status == 421,
-            retry_after_ms=_retry_after_ms(head.value(b"retry-after")),
+            is_signed=bool(head.value(SIGNATURE_HEADER)),
+            not_run=head.value(NOT_EXECUTED_HEADER) is not None or head.status == 421,
+            retry_after_ms=_parse_retry_after_ms(head.value(b"retry-after")),
         )
 
     def forwarded_headers(self, head: AnswerHead) -> list[Header]:
         """Return the headers of an answer that go on to the caller."""
-        dropped = self._dropped(head.headers)
+        dropped = self._dropped_names(head.headers)
         return [(name, value) for name, value in head.headers if name.lower() not in dropped]
 
     def own_answer_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
@@ -125,17 +145,17 @@
         return headers
 
     @staticmethod
-    def _dropped(headers: list[Header]) -> frozenset[bytes]:
+    def _dropped_names(headers: list[Header]) -> frozenset[bytes]:
         named = {
             token.strip().lower()
             for name, value in headers
             if name.lower() == b"connection"
             for token in value.split(b",")
         }
-        return ONE_CONNECTION_ONLY | SET_HERE_ONLY | (named - NEEDED)
+        return ONE_CONNECTION_ONLY | NODE_SET_HEADERS | (named - REQUIRED_HEADERS)
 
 
-def _retry_after_ms(value: bytes | None) -> int | None:
+def _parse_retry_after_ms(value: bytes | None) -> int | None:
     try:
         return None if value is None else max(0, round(float(value) * 1000))
     except (ValueError, OverflowError):
--- a/monsoonflow/platform/outside.py
+++ b/monsoonflow/platform/outside.py
@@ -12,7 +12,7 @@
 from ..routing.routes import RouteTable
 from ..transport.server import Handler
 from . import configuration, directory, servers, store
-from .engine import EngineControl
+from .engine import PlatformRunnerControl
 from .headers import HeaderDialect
 
 
@@ -25,15 +25,19 @@
 
     def table(self, body: bytes) -> RouteTable | str:
         """Return the routes that a row's bytes hold, or why they can't be used."""
-        return configuration.decode_routes(body)
+        return configuration.decode_route_table(body)
 
     def routes(self, key: str, body: bytes) -> RouteTable | str | None:
         """Return the routes; a text says why not; ``None``: the row holds something else."""
-        return configuration.decode_routes(body) if key == configuration.ROUTES_KEY else None
+        return (
+            configuration.decode_route_table(body)
+            if key == configuration.CONFIGURATION_KEY
+            else None
+        )
 
     def adapter_version(self, key: str, body: bytes) -> AdapterRef | str | None:
         """Return a named adapter version; a text says why not; ``None``: something else."""
-        if not key.startswith(configuration.VERSION_PREFIX):
+        if not key.startswith(configuration.ADAPTER_VERSION_PREFIX):
             return None
         return configuration.decode_adapter_version(body)
 
@@ -64,16 +68,16 @@
 
     def store_calls(self) -> int:
         """Return how many calls to the store were made."""
-        return sum(found.calls for found in self._stores)
+        return sum(found.call_count for found in self._stores)
 
     def runners(self) -> RunnerControl:
         """Return the way to the runners."""
-        return EngineControl(self._clock)
+        return PlatformRunnerControl(self._clock)
 
     def readiness(self, ready: Callable[[], bool]) -> Handler:
         """Return the handler of the readiness address."""
-        return directory.readiness(ready)
+        return directory.readiness_handler(ready)
 
     def directory(self, choose: Callable[[str | None], tuple[list[str], float]]) -> Handler:
         """Return the handler of the directory address."""
-        return directory.directory(choose)
+        return directory.directory_handler(choose)
--- a/monsoonflow/platform/schema.py
+++ b/monsoonflow/platform/schema.py
@@ -17,18 +17,18 @@
 
 _OCTET: Final = r"(25[0-5]|2[0-4]\d|1?\d?\d)"
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
-Positive = Annotated[int, Meta(ge=1, le=MAX_COUNT)]
-Amount = Annotated[float, Meta(ge=0)]
-Text = Annotated[str, Meta(min_length=1, max_length=1_000)]
-Address = Annotated[str, Meta(pattern=rf"^({_OCTET}\.){{3}}{_OCTET}:[1-9]\d{{0,4}}\Z")]
+PositiveCount = Annotated[int, Meta(ge=1, le=MAX_COUNT)]
+NonNegativeNumber = Annotated[float, Meta(ge=0)]
+NonEmptyText = Annotated[str, Meta(min_length=1, max_length=1_000)]
+IpAddressAndPort = Annotated[str, Meta(pattern=rf"^({_OCTET}\.){{3}}{_OCTET}:[1-9]\d{{0,4}}\Z")]
 
 
 class HeldModelFields(Struct):
     """A base model that a runner holds; adapters are written NAME@VERSION."""
 
-    name: Text
+    name: NonEmptyText
     version: Count = 1
-    adapters: list[Text] = []
+    adapters: list[NonEmptyText] = []
 
 
 class ServerFields(Struct, rename="camel"):
@@ -38,16 +38,16 @@
     :param born: when the server started, in Unix milliseconds; not told on every deployment.
     """
 
-    service: Text
-    address: Address
+    service: NonEmptyText
+    address: IpAddressAndPort
     zone: str
-    slots: Positive
+    slots: PositiveCount
     state: Literal["ready", "draining"]
     sequence: Count
     version: str
-    cold_remaining_ms: Amount
+    cold_remaining_ms: NonNegativeNumber
     born: Count | msgspec.UnsetType = msgspec.UNSET
-    remaining_ms: Amount | None = None
+    remaining_ms: NonNegativeNumber | None = None
     models: list[HeldModelFields] = []
 
 
@@ -62,53 +62,53 @@
     born: Count | msgspec.UnsetType = msgspec.UNSET
     busy: bool = False
     models: list[HeldModelFields] = []
-    incoming: list[Text] = []
+    incoming: list[NonEmptyText] = []
     active: Count = 0
     queued: Count = 0
-    kv_used: Amount = 0
-    kv_total: Amount = 0
+    kv_used: NonNegativeNumber = 0
+    kv_total: NonNegativeNumber = 0
 
 
-class VersionFields(Struct):
+class AdapterVersionFields(Struct):
     """A version of an adapter that the operator names."""
 
-    model: Text
-    adapter: Text
-    version: Positive
+    model: NonEmptyText
+    adapter: NonEmptyText
+    version: PositiveCount
 
 
-class SplitFields(Struct):
+class TrafficSplitFields(Struct):
     """A share of a route's requests."""
 
-    service: Text
-    weight: Amount
+    service: NonEmptyText
+    weight: NonNegativeNumber
 
 
 class RouteFields(Struct, rename="camel"):
     """One route of the configuration."""
 
-    host: Text
-    prefix: Text
-    kind: Text
-    timeout_ms: Amount
+    host: NonEmptyText
+    prefix: NonEmptyText
+    kind: NonEmptyText
+    timeout_ms: NonNegativeNumber
     name: str = ""
-    service: Text | None = None
-    traffic_split: list[SplitFields] = []
-    target_latency_ms: Amount | None = None
-    gap_aim_ms: Amount = 1_000
+    service: NonEmptyText | None = None
+    traffic_split: list[TrafficSplitFields] = []
+    target_latency_ms: NonNegativeNumber | None = None
+    gap_aim_ms: NonNegativeNumber = 1_000
     attempts: Count = 1
     priority: int = 0
     resumable: bool = False
 
 
-class ModelFields(Struct, rename="camel"):
+class BaseModelFields(Struct, rename="camel"):
     """A base model: times in seconds, sizes in MB."""
 
-    name: Text
-    weights_mb: Amount
-    load_s: Amount = 2.0
-    disk_s: Amount | None = None
-    adapter_mb: Amount = 0.0
+    name: NonEmptyText
+    weights_mb: NonNegativeNumber
+    load_s: NonNegativeNumber = 2.0
+    disk_s: NonNegativeNumber | None = None
+    adapter_mb: NonNegativeNumber = 0.0
     adapters: Count = 0
 
 
@@ -118,18 +118,18 @@
     :param slots: requests that one step takes.
     """
 
-    slots: Positive
+    slots: PositiveCount
     kv_capacity: Count
-    weights_mb: Amount = 0.0
+    weights_mb: NonNegativeNumber = 0.0
     adapter_slots: Count = 0
-    load_per_s: Amount = 1.0
-    models: list[ModelFields] = []
+    load_per_s: NonNegativeNumber = 1.0
+    models: list[BaseModelFields] = []
 
 
 class ServiceFields(Struct, rename="camel"):
     """One service of the configuration."""
 
-    name: Text
+    name: NonEmptyText
     max_connections: Count = 100
     engine_kind: EngineFields | None = None
 
@@ -137,10 +137,10 @@
 class LimitFields(Struct, rename="camel"):
     """Bounds on what callers send."""
 
-    max_header_bytes: Positive | None = None
-    max_body_bytes: Positive | None = None
-    header_timeout_ms: Positive | None = None
-    idle_timeout_ms: Positive | None = None
+    max_header_bytes: PositiveCount | None = None
+    max_body_bytes: PositiveCount | None = None
+    header_timeout_ms: PositiveCount | None = None
+    idle_timeout_ms: PositiveCount | None = None
 
 
 class ConfigurationFields(Struct):
--- a/monsoonflow/platform/servers.py
+++ b/monsoonflow/platform/servers.py
@@ -24,11 +24,11 @@
         return fields
     if int(fields.address.rpartition(":")[2]) > MAX_PORT:
         return f"no such port: {fields.address}"
-    models = held_models(fields.models)
+    models = decode_held_models(fields.models)
     if isinstance(models, str):
         return models
     return BackendServer(
-        life=life_of(server_id, fields.born),
+        life=to_server_life(server_id, fields.born),
         service=fields.service,
         address=fields.address,
         data_centre=fields.zone,
@@ -39,16 +39,16 @@
     )
 
 
-def life_of(server_id: str, born: int | msgspec.UnsetType) -> ServerLife:
+def to_server_life(server_id: str, born: int | msgspec.UnsetType) -> ServerLife:
     """Return the life that a server speaks of."""
     return ServerLife.of(server_id, None if born is msgspec.UNSET else born)
 
 
-def held_models(entries: Iterable[HeldModelFields]) -> tuple[HeldModel, ...] | str:
+def decode_held_models(entries: Iterable[HeldModelFields]) -> tuple[HeldModel, ...] | str:
     """Return the models that a runner says it holds, or which word can't be read."""
     models = []
     for entry in entries:
-        refs = [adapter_ref(f"{entry.name}/{text}") for text in entry.adapters]
+        refs = [parse_adapter_ref(f"{entry.name}/{text}") for text in entry.adapters]
         unreadable = next((ref for ref in refs if isinstance(ref, str)), None)
         if unreadable is not None:
             return unreadable
@@ -56,10 +56,10 @@
     return tuple(models)
 
 
-def adapter_ref(text: str) -> AdapterRef | str:
+def parse_adapter_ref(text: str) -> AdapterRef | str:
     """Return what ``MODEL/NAME@VERSION`` names, version 1 where it names none.
 
-    >>> str(adapter_ref("m/a3")), adapter_ref("m/a3@x")
+    >>> str(parse_adapter_ref("m/a3")), parse_adapter_ref("m/a3@x")
     ('m/a3@1', 'no version of an adapter: m/a3@x')
     """
     name, mark, version = text.partition("@")
--- a/monsoonflow/platform/settings.py
+++ b/monsoonflow/platform/settings.py
@@ -30,18 +30,18 @@
     def __init__(self, path: str, metrics_port: int) -> None:
         self._path = path
         self._metrics_port = metrics_port
-        self._stamp: tuple[int, int] | None = None
+        self._last_read_stamp: tuple[int, int] | None = None
 
     def read(self) -> EntrySettings | SettingError:
         """Return the settings as they stand."""
-        self._stamp = self._stamp_now()
+        self._last_read_stamp = self._current_stamp()
         return read_settings(self._path, self._metrics_port)
 
     def reread(self) -> EntrySettings | SettingError | None:
         """Return the settings when the file has changed, else ``None``."""
-        return None if self._stamp_now() == self._stamp else self.read()
+        return None if self._current_stamp() == self._last_read_stamp else self.read()
 
-    def _stamp_now(self) -> tuple[int, int] | None:
+    def _current_stamp(self) -> tuple[int, int] | None:
         try:
             status = os.stat(self._path)
         except OSError:
@@ -83,25 +83,25 @@
         metrics_address=f"{fields['bindIp']}:{metrics_port}",
         seeds=tuple(str(seed) for seed in fields.get("seedNodes", ())),
         store_address=str(platform["address"]),
-        cores=_cores(fields.get("limits")),
+        cores=_decode_cores(fields.get("limits")),
         first_start=fields.get("bootstrap") is True,
         bounds=PeerBounds(
             lease_ms=int(bounds.get("leaseMs", 3_000)),
-            grace_ms=_ms(bounds.get("graceS", 8)),
+            grace_ms=_to_ms(bounds.get("graceS", 8)),
             drain_ms=int(bounds.get("drainMs", 2_000)),
             fenced=bool(bounds.get("requireFence", False)),
             retry_ratio=float(bounds.get("budgetRatio", 0.2)),
             retry_reserve=float(bounds.get("budgetExtraRetries", 0)),
-            retry_window_ms=_ms(bounds.get("budgetWindowS", 10)),
+            retry_window_ms=_to_ms(bounds.get("budgetWindowS", 10)),
             version_ms=int(bounds.get("version_ms", 5_000)),
-            address_ttl_ms=_ms(bounds.get("ttl_max_s", 5)),
-            load_window_ms=_ms(bounds.get("ceilingWindowS", 5)),
+            address_ttl_ms=_to_ms(bounds.get("ttl_max_s", 5)),
+            load_window_ms=_to_ms(bounds.get("ceilingWindowS", 5)),
             thaw_ms=int(bounds.get("thawMs", 300)),
         ),
     )
 
 
-def _cores(limits: object) -> float:
+def _decode_cores(limits: object) -> float:
     """Return the processor time that the process gets; a guess where it is not told.
 
     ``cpuCores`` is no number of cores: it is how many times as fast the one core is.
@@ -112,5 +112,5 @@
     return bounded_cores(share * speed)
 
 
-def _ms(seconds: float) -> int:
+def _to_ms(seconds: float) -> int:
     return round(float(seconds) * 1000)
--- a/monsoonflow/platform/store.py
+++ b/monsoonflow/platform/store.py
@@ -30,7 +30,7 @@
 _LOGGER = logging.getLogger(__name__)
 JSON_HEADERS: Final = ((b"Content-Type", b"application/json"),)
 CALL_TIMEOUT_MS: Final = 1_500
-PAGE: Final = 500
+MAX_PAGE_ROWS: Final = 500
 """Rows a page, the most that the store gives."""
 
 OWN_TABLE: Final = "monsoonflow"
@@ -47,24 +47,24 @@
     def __init__(self, address: str, clock: Clock) -> None:
         self._address = address
         self._pools = Pools(clock, max_idle=4)
-        self.calls = 0
-        self._asked: ServerConnection | None = None
-        self._hung_up = False
+        self.call_count = 0
+        self._feed_connection: ServerConnection | None = None
+        self._is_feed_cancelled = False
 
     def get(self, key: str) -> Row | None | Unavailable:
         """Return a row; ``None`` means that the store said there is none."""
-        data = self._rows(OWN_TABLE, {"from": key, "pageLimit": 1})
+        data = self._read_page(OWN_TABLE, {"from": key, "pageLimit": 1})
         if isinstance(data, Unavailable):
             return data
-        found = [row for entry in data["rows"] if (row := _row(entry)) and row.key == key]
+        found = [row for entry in data["rows"] if (row := _decode_entry(entry)) and row.key == key]
         return found[0] if found else None
 
     def scan(self, prefix: str, after: str = "") -> list[Row] | Unavailable:
         """Return the rows under a prefix in key order, those after a key only."""
-        rows = self._all(OWN_TABLE)
+        rows = self._read_table(OWN_TABLE)
         if isinstance(rows, Unavailable):
             return rows
-        found = [_decoded(row) for row in rows.rows if row.key.startswith(prefix)]
+        found = [_decode_row(row) for row in rows.rows if row.key.startswith(prefix)]
         return [row for row in found if row is not None and row.key > after]
 
     def commit_once(self, transaction: Transaction) -> CommitResult:
@@ -72,22 +72,22 @@
         stamp = {"op": transaction.operation_id}
         body = {
             "expectedRev": [
-                {**_place(key), "rowVersion": version}
+                {**_row_address(key), "rowVersion": version}
                 for key, version in transaction.conditions.items()
             ],
             "setKeys": [
                 {
-                    **_place(key),
-                    "value": _encoded({**value, **stamp}),
+                    **_row_address(key),
+                    "value": _encode_value({**value, **stamp}),
                 }
                 for key, value in transaction.puts.items()
             ],
-            "remove": [_place(key) for key in transaction.deletes],
+            "remove": [_row_address(key) for key in transaction.deletes],
         }
         answer = self._call("POST", "/v1/rows-tx", orjson.dumps(body), CALL_TIMEOUT_MS)
         match answer:
             case Answer(head=head) if head.status == 200:
-                return Committed(int(_json(answer).get("rowVersion", 0)))
+                return Committed(int(_decode_json_object(answer).get("rowVersion", 0)))
             case Answer(head=head) if head.status == 412:
                 return Conflict()
             case Answer(head=head) if head.status in (429, 503):
@@ -99,58 +99,64 @@
 
     def read_all(self, collection: str) -> Changes | Unavailable:
         """Return all rows of a table."""
-        return self._all(collection)
+        return self._read_table(collection)
 
     def changes(
         self, collection: str, after: int, wait_ms: int, answer_ms: int = CALL_TIMEOUT_MS
     ) -> Changes | HistoryLost | Unavailable:
         """Return what changed in a table after a version, as soon as there is something."""
-        self._hung_up = False
+        self._is_feed_cancelled = False
         query = urlencode({"table": collection, "after": after, "waitMs": wait_ms})
-        answer = self._call("GET", f"/v1/rows-feed?{query}", b"", wait_ms + answer_ms, self._asks)
-        self._asked = None
+        answer = self._call(
+            "GET", f"/v1/rows-feed?{query}", b"", wait_ms + answer_ms, self._set_feed_connection
+        )
+        self._feed_connection = None
         if isinstance(answer, Lost):
             return Unavailable(answer.reason)
         if answer.head.status == 410:
             return HistoryLost()
-        data = _json(answer)
+        data = _decode_json_object(answer)
         if answer.head.status != 200 or "rowVersion" not in data:
             return Unavailable(f"status {answer.head.status}")
-        rows = [row for entry in data.get("rows", ()) if (row := _changed(entry)) is not None]
+        rows = [
+            row for entry in data.get("rows", ()) if (row := _decode_changed_row(entry)) is not None
+        ]
         return Changes(tuple(rows), int(data["rowVersion"]))
 
     def hang_up(self) -> None:
         """End the question for changes in progress, also one that still has no connection."""
-        self._hung_up = True
-        if self._asked is not None:
-            self._asked.close()
+        self._is_feed_cancelled = True
+        if self._feed_connection is not None:
+            self._feed_connection.close()
 
-    def _asks(self, connection: ServerConnection) -> None:
-        self._asked = connection
-        if self._hung_up:
+    def _set_feed_connection(self, connection: ServerConnection) -> None:
+        self._feed_connection = connection
+        if self._is_feed_cancelled:
             connection.close()
 
-    def _all(self, table: str) -> Changes | Unavailable:
+    def _read_table(self, table: str) -> Changes | Unavailable:
         rows: list[ChangedRow] = []
         start = ""
         while True:
-            query = {"pageLimit": PAGE, **({"from": start} if start else {})}
-            data = self._rows(table, query)
+            query = {"pageLimit": MAX_PAGE_ROWS, **({"from": start} if start else {})}
+            data = self._read_page(table, query)
             if isinstance(data, Unavailable):
                 return data
-            page = [row for entry in data["rows"] if (row := _changed(entry)) is not None]
+            page = [
+                row for entry in data["rows"] if (row := _decode_changed_row(entry)) is not None
+            ]
             rows += page
             if not data.get("hasMore") or not data["rows"]:
                 return Changes(tuple(rows), int(data["rowVersion"]))
             # The range begins with its first key: the next page starts right behind the last one.
             start = data["rows"][-1]["key"] + "\x00"
 
-    def _rows(self, table: str, query: dict[str, Any]) -> dict[str, Any] | Unavailable:
+    def _read_page(self, table: str, query: dict[str, Any]) -> dict[str, Any] | Unavailable:
         text = urlencode({"table": table, "part": "", **query})
         answer = self._call("GET", f"/v1/rows-get?{text}", b"", CALL_TIMEOUT_MS)
         if isinstance(answer, Lost):
             return Unavailable(answer.reason)
-        data = _json(answer)
+        data = _decode_json_object(answer)
         if answer.head.status != 200 or "rowVersion" not in data or "rows" not in data:
             return Unavailable(f"status {answer.head.status}")
         return data
@@ -161,9 +167,9 @@
         target: str,
         body: bytes,
         timeout_ms: int,
-        on_taken: Callable[[ServerConnection], None] = lambda _: None,
+        on_connection: Callable[[ServerConnection], None] = lambda _: None,
     ) -> Answer | Lost:
-        self.calls += 1
+        self.call_count += 1
         headers = JSON_HEADERS if body else ()
         return call(
             self._pools,
@@ -173,19 +179,19 @@
             body,
             timeout_ms,
             headers,
-            on_taken=on_taken,
+            on_taken=on_connection,
         )
 
 
-def _encoded(value: dict[str, Any]) -> str:
+def _encode_value(value: dict[str, Any]) -> str:
     return base64.b64encode(orjson.dumps(value)).decode()
 
 
-def _place(key: str) -> dict[str, str]:
+def _row_address(key: str) -> dict[str, str]:
     return {"table": OWN_TABLE, "part": "", "key": key}
 
 
-def _json(answer: Answer) -> dict[str, Any]:
+def _decode_json_object(answer: Answer) -> dict[str, Any]:
     try:
         data = orjson.loads(answer.body or b"{}")
     except orjson.JSONDecodeError:
@@ -193,7 +199,7 @@
     return data if isinstance(data, dict) else {}
 
 
-def _changed(entry: Any) -> ChangedRow | None:
+def _decode_changed_row(entry: Any) -> ChangedRow | None:
     """Return a row; a malformed one is logged and skipped, it must never stop a process."""
     try:
         body = None if entry.get("removed") else base64.b64decode(entry["value"], validate=True)
@@ -203,14 +209,14 @@
         return None
 
 
-def _row(entry: Any) -> Row | None:
-    changed = _changed(entry)
-    return None if changed is None else _decoded(changed)
+def _decode_entry(entry: Any) -> Row | None:
+    changed = _decode_changed_row(entry)
+    return None if changed is None else _decode_row(changed)
 
 
-def _decoded(changed: ChangedRow) -> Row | None:
+def _decode_row(changed_row: ChangedRow) -> Row | None:
     try:
-        value = orjson.loads(changed.body or b"null")
+        value = orjson.loads(changed_row.body or b"null")
     except orjson.JSONDecodeError:
         return None
-    return Row(changed.key, changed.version, value) if isinstance(value, dict) else None
+    return Row(changed_row.key, changed_row.version, value) if isinstance(value, dict) else None
--- a/tests/logs/test_lines.py
+++ b/tests/logs/test_lines.py
@@ -12,9 +12,9 @@
 
 from monsoonflow.helpers.logfmt import LineFormatter
 from monsoonflow.logs import events, log
-from monsoonflow.logs.lines import MAX_WAITING_LINES, QueueHandler
+from monsoonflow.logs.lines import MAX_QUEUED_LINES, QueueHandler
 from monsoonflow.logs.sampling import Sampler
-from monsoonflow.logs.write import line
+from monsoonflow.logs.write import format_event
 
 
 @pytest.fixture
@@ -42,27 +42,27 @@
     Writing would hold up every request of the process. Lines wait, then are dropped and counted.
     """
     began = time.monotonic()
-    for _ in range(MAX_WAITING_LINES * 2):
+    for _ in range(MAX_QUEUED_LINES * 2):
         handler.emit(record(text="event=x " + "y" * 200))
-    while handler.write_some(pipe[1]):
+    while handler.write_available(pipe[1]):
         pass
-    assert not handler.write_some(pipe[1])
+    assert not handler.write_available(pipe[1])
     assert time.monotonic() - began < 5
-    assert handler.dropped_by_level["info"] >= MAX_WAITING_LINES - 1_000
+    assert handler.dropped_by_level["info"] >= MAX_QUEUED_LINES - 1_000
 
 
 def test_errors_are_kept_when_lines_are_dropped(handler):
-    for _ in range(MAX_WAITING_LINES + 10):
+    for _ in range(MAX_QUEUED_LINES + 10):
         handler.emit(record())
     handler.emit(record(logging.ERROR, "event=broken"))
-    assert b"event=broken" in handler.lines[-1]
+    assert b"event=broken" in handler.queued_lines[-1]
 
 
 def test_lines_arrive_whole_and_in_order(handler, pipe):
     for number in range(300):
         handler.emit(record(text=f"event=x number={number} " + "y" * 100))
     got = b""
-    while not handler.write_some(pipe[1]) or handler.lines:
+    while not handler.write_available(pipe[1]) or handler.queued_lines:
         got += os.read(pipe[0], 65_536)
     got += os.read(pipe[0], 1 << 20)
     numbers = [int(part.split()[0]) for part in got.decode().split("number=")[1:]]
@@ -70,7 +70,7 @@
 
 
 def test_the_first_lines_of_each_cause_are_kept():
-    sampler = Sampler(per_second=3)
+    sampler = Sampler(max_lines_per_second=3)
     full = [sampler.allows("refused", "full", 5_000 + n) for n in range(100)]
     assert full.count(True) == 3
     assert sampler.allows("refused", "another cause", 5_050)
@@ -100,4 +100,4 @@
     for kind in kinds:
         assert kind.__doc__.endswith(".")
         values = {field.name: "a\nb" for field in attrs.fields(kind)}
-        assert "\n" not in line(kind(**values))
+        assert "\n" not in format_event(kind(**values))
--- a/tests/platform/test_directory.py
+++ b/tests/platform/test_directory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from monsoonflow.platform.directory import directory
+from monsoonflow.platform.directory import directory_handler
 from monsoonflow.transport.models import Request
 
 
@@ -43,6 +43,6 @@
 
     reply = Reply()
     request = Request(b"GET", b"/v1/resolve" + query, "1.1", [], b"", True, 0)
-    directory(choose)(request, reply)
+    directory_handler(choose)(request, reply)
     assert asked == [zone]
     assert (reply.status, reply.body) == (200, b'{"addresses":["1.1.1.1:1"],"ttlS":2.0}')
--- a/tests/platform/test_other_writers.py
+++ b/tests/platform/test_other_writers.py
@@ -16,7 +16,7 @@
 from monsoonflow.entry.store_follower import decode_node_record, encode_node_record
 from monsoonflow.fleet.models import NodeRecord
 from monsoonflow.ownership.cell_lease import CellLeaseRow
-from monsoonflow.platform.configuration import decode_adapter_version, decode_routes
+from monsoonflow.platform.configuration import decode_adapter_version, decode_route_table
 from monsoonflow.platform.servers import decode_server
 from monsoonflow.routing.routes import RouteTable
 from tests.entry.conftest import CONFIG
@@ -145,7 +145,7 @@
 @given(st.binary(max_size=200))
 def test_no_bytes_stop_a_reader_of_rows(body):
     assert isinstance(decode_server("i-1", body), str | BackendServer)
-    assert isinstance(decode_routes(body), str | RouteTable)
+    assert isinstance(decode_route_table(body), str | RouteTable)
     assert isinstance(decode_adapter_version(body), str) or body
     assert isinstance(decode_node_record(body), str | NodeRecord)
     assert decode_cell_lease("c", body) is None or isinstance(
@@ -173,7 +173,7 @@
     for key in path[:-1]:
         part = part[key]
     part[path[-1]] = value
-    table = decode_routes(json.dumps(spoilt).encode())
+    table = decode_route_table(json.dumps(spoilt).encode())
     if isinstance(table, str):
         return
     if path == ("version",):
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -25,8 +25,8 @@
     Superseded,
     Unusable,
 )
-from monsoonflow.platform.configuration import decode_adapter_version, decode_routes
-from monsoonflow.platform.engine import EngineControl
+from monsoonflow.platform.configuration import decode_adapter_version, decode_route_table
+from monsoonflow.platform.engine import PlatformRunnerControl
 from monsoonflow.platform.headers import HeaderDialect
 from monsoonflow.platform.servers import decode_server
 from monsoonflow.platform.settings import SettingsFile, read_settings
@@ -135,7 +135,7 @@
 
 
 def test_routes_and_services_are_decoded():
-    table = decode_routes(orjson.dumps(CONFIG))
+    table = decode_route_table(orjson.dumps(CONFIG))
     route = table.match("h.example", "/read/x")
     assert route.kind is RouteKind.STREAM
     assert (route.is_resumable, route.is_repeatable, route.max_event_gap_ms) == (True, True, 400)
@@ -155,7 +155,7 @@
         {"service": "llm", "weight": 10},
         {"service": "none", "weight": 0},
     ]
-    route = decode_routes(orjson.dumps(config)).match("h.example", "/look/x")
+    route = decode_route_table(orjson.dumps(config)).match("h.example", "/look/x")
     rng = random.Random(1)
     chosen = [route.choose_service(rng) for _ in range(1_000)]
     assert 850 < chosen.count("plain") < 950
@@ -175,7 +175,7 @@
 @settings(max_examples=200, derandomize=True)
 def test_no_row_stops_a_process(value):
     body = orjson.dumps(value)
-    decode_routes(body)
+    decode_route_table(body)
     decode_adapter_version(body)
     decode_server("i", body)
 
@@ -335,7 +335,7 @@
 def test_orders_and_reports():
     runner = PlatformRunner("i-1", f"127.0.0.1:{free_port()}", "llm", "m")
     runner.start()
-    control = EngineControl(MonotonicClock())
+    control = PlatformRunnerControl(MonotonicClock())
     order = Order(Operation.LOAD, "m/a1", None, 0, "n1", 5)
     try:
         assert control.send_order(ServerLife("i-1"), runner.address, order) == Accepted(
