--- a/monsoonflow/platform/__init__.py
+++ b/monsoonflow/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the users' platform and the product; the only place that knows its names."""
+"""Translates between the users' platform and this project; only this package knows its names."""
--- a/monsoonflow/platform/__main__.py
+++ b/monsoonflow/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs an entry process on the platform."""
+"""Command that runs an entry process on the users' platform."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 from gevent import config
 
-# Addresses are IP numbers: without this each connection would ask a thread to resolve them.
+# Addresses are numeric and need no DNS: gevent's default resolver would hand the address of each
+# connection to a thread.
 config.resolver = "block"
 
 from ..core.clock import MonotonicClock  # noqa: E402
@@ -21,19 +22,19 @@
 
 
 def main(arguments: list[str], environ: dict[str, str]) -> int:
-    """Check the settings and run the process until it is told to stop."""
-    flags = dict(word.removeprefix("--").partition("=")[::2] for word in arguments)
+    """Check the settings, run the process until it is asked to stop, and return the exit status."""
+    flags = dict(argument.removeprefix("--").partition("=")[::2] for argument in arguments)
     unknown = sorted(flags.keys() - {setting.name for setting in SCHEMA})
     values = SettingError(unknown[0], "unknown") if unknown else resolve(SCHEMA, flags, environ)
     if isinstance(values, SettingError):
         return _print_setting_error(values)
-    file = SettingsFile(values["node-file"].value, values["metrics-port"].value)
-    settings = file.read()
+    settings_file = SettingsFile(values["node-file"].value, values["metrics-port"].value)
+    settings = settings_file.read()
     if isinstance(settings, SettingError):
         return _print_setting_error(settings)
     handler = lines.start_logging(values["log-level"].value)
-    outside = PlatformOutside(settings, MonotonicClock())
-    daemon = EntryDaemon(settings, outside, file.reread)
+    integration = PlatformOutside(settings, MonotonicClock())
+    daemon = EntryDaemon(settings, integration, settings_file.reread)
     handler.on_drop = daemon.metrics.log_lines_dropped.inc
     status = daemon.run()
     lines.flush(handler)
--- a/monsoonflow/platform/configuration.py
+++ b/monsoonflow/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes what the operator writes: routes, services, limits and adapter versions."""
+"""Decodes the operator's rows: routes, services, limits and adapter versions."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 
 
 def decode_route_table(body: bytes) -> RouteTable | str:
-    """Return the routes and services, or why they can't be used."""
+    """Return the routes, services and limits, or why the configuration is invalid."""
     fields = read(body, ConfigurationFields)
     if isinstance(fields, str):
         return fields
     try:
-        routes = [_to_route(entry) for entry in fields.routes]
-        services = [_to_service(entry) for entry in fields.services]
+        routes = [_to_route(route) for route in fields.routes]
+        services = [_to_service(service) for service in fields.services]
         return RouteTable.build(fields.version, routes, services, _to_message_limits(fields.limits))
     except ValueError as error:
         return str(error)
 
 
 def decode_adapter_version(body: bytes) -> AdapterRef | str:
-    """Return the adapter version that the operator names, as ``MODEL/ADAPTER@VERSION``."""
+    """Return the operator's adapter version ``MODEL/ADAPTER@VERSION``, or why it is invalid."""
     fields = read(body, AdapterVersionFields)
     if isinstance(fields, str):
         return fields
@@ -55,15 +55,15 @@
 def _to_route(fields: RouteFields) -> Route:
     """Return a route.
 
-    :raises ValueError: when it names no service or no known kind.
+    :raises ValueError: if it has no service or an unknown kind.
     """
-    targets = [Target(part.service, part.weight) for part in fields.traffic_split]
+    targets = [Target(split.service, split.weight) for split in fields.traffic_split]
     if not targets:
         if fields.service is None:
-            raise ValueError(f"the route {fields.name} names no service")
+            raise ValueError(f"route {fields.name} has no service")
         targets = [Target(fields.service, 1.0)]
-    told_ms = fields.target_latency_ms
-    objective_ms = int(fields.timeout_ms if told_ms is None else told_ms)
+    target_latency_ms = fields.target_latency_ms
+    objective_ms = int(fields.timeout_ms if target_latency_ms is None else target_latency_ms)
     return Route(
         name=fields.name,
         host=fields.host,
@@ -81,30 +81,30 @@
 
 
 def _first_event_timeout_ms(objective_ms: int, max_event_gap_ms: int) -> int:
-    """Return how long callers of a stream wait for its first event: the page's rule."""
+    """Return how long callers of a stream wait for its first event, as the platform defines it."""
     return max(MIN_FIRST_EVENT_TIMEOUT_MS, 4 * objective_ms, 8 * max_event_gap_ms)
 
 
 def _to_service(fields: ServiceFields) -> Service:
-    traits = fields.engine_kind
+    engine_fields = fields.engine_kind
     return Service(
         name=fields.name,
         max_connections=fields.max_connections,
-        engine=None if traits is None else _to_engine_traits(traits),
+        engine=None if engine_fields is None else _to_engine_traits(engine_fields),
     )
 
 
 def _to_engine_traits(fields: EngineFields) -> EngineTraits:
     models = [
         BaseModel(
-            name=entry.name,
-            memory_mb=entry.weights_mb,
-            load_ms=round(entry.load_s * 1000),
-            disk_load_ms=round((entry.load_s if entry.disk_s is None else entry.disk_s) * 1000),
-            adapter_mb=entry.adapter_mb,
-            adapters=entry.adapters,
+            name=model.name,
+            memory_mb=model.weights_mb,
+            load_ms=round(model.load_s * 1000),
+            disk_load_ms=round((model.load_s if model.disk_s is None else model.disk_s) * 1000),
+            adapter_mb=model.adapter_mb,
+            adapters=model.adapters,
         )
-        for entry in fields.models
+        for model in fields.models
     ]
     return EngineTraits(
         max_batch_size=fields.slots,
@@ -117,12 +117,12 @@
 
 
 def _to_message_limits(fields: LimitFields | None) -> MessageLimits:
-    usual = MessageLimits()
+    defaults = MessageLimits()
     if fields is None:
-        return usual
+        return defaults
     return MessageLimits(
-        head_bytes=fields.max_header_bytes or usual.head_bytes,
-        body_bytes=fields.max_body_bytes or usual.body_bytes,
-        head_ms=fields.header_timeout_ms or usual.head_ms,
-        idle_ms=fields.idle_timeout_ms or usual.idle_ms,
+        head_bytes=fields.max_header_bytes or defaults.head_bytes,
+        body_bytes=fields.max_body_bytes or defaults.body_bytes,
+        head_ms=fields.header_timeout_ms or defaults.head_ms,
+        idle_ms=fields.idle_timeout_ms or defaults.idle_ms,
     )
--- a/monsoonflow/platform/directory.py
+++ b/monsoonflow/platform/directory.py
@@ -1,4 +1,4 @@
-"""Answers the platform's questions: whether this process is ready, and which address to use."""
+"""Handlers for readiness checks and for callers that look up addresses of nodes."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 JSON_HEADERS = [(b"Content-Type", b"application/json")]
 
 MAX_QUERY_FIELDS = 16
-"""A question with more fields than that is answered as one that names no zone."""
+"""A query with more fields is answered as one without a zone."""
 
 
 def readiness_handler(is_ready: Callable[[], bool]) -> Callable[[Request, Reply], None]:
-    """Return the handler of the readiness address."""
+    """Return the handler of readiness checks: it answers 200 or 503."""
 
     def handle(request: Request, reply: Reply) -> None:
         if request.target.partition(b"?")[0] != b"/v1/readiness":
@@ -31,10 +31,10 @@
 def directory_handler(
     choose_addresses: Callable[[str | None], tuple[list[str], float]],
 ) -> Callable[[Request, Reply], None]:
-    """Return the handler of the directory address.
+    """Return the handler of address lookups.
 
-    :param choose: returns the addresses that callers in a data centre should use and for how many
-        seconds; ``None``: the caller does not tell where it is.
+    :param choose_addresses: returns the addresses that callers in a data centre should use, and for
+        how many seconds; its argument is ``None`` if a caller does not name its data centre.
     """
 
     def handle(request: Request, reply: Reply) -> None:
@@ -52,7 +52,7 @@
 
 
 def _zone_of_query(query: bytes) -> str | None:
-    """Return the zone that a question names; one without a readable zone names none."""
+    """Return the zone (data centre) of a query; ``None`` if it has none or can't be parsed."""
     try:
         return parse_qs(query.decode("latin-1"), max_num_fields=MAX_QUERY_FIELDS).get(
             "zone", [None]
--- a/monsoonflow/platform/engine.py
+++ b/monsoonflow/platform/engine.py
@@ -1,4 +1,4 @@
-"""Speaks to model runners: reports and orders."""
+"""Client of the model runners' control API: runner reports and orders."""
 
 from __future__ import annotations
 
@@ -29,20 +29,23 @@
 
 _LOGGER = logging.getLogger(__name__)
 ORDER_TIMEOUT_MS: Final = 120
-"""Longest wait for the answer to an order: forty round trips. After it the order is sent again
-under the same condition, which is safe; waiting longer stops all other orders to that runner."""
+"""Longest wait for the answer to an order: forty round trips. The order is then sent again under
+the same condition, which is safe; a longer wait would block all other orders to that runner."""
 
 REPORT_TIMEOUT_MS: Final = 700
 
 
 class PlatformRunnerControl:
-    """Sends orders to runners and reads their reports."""
+    """Sends orders to model runners and fetches their reports."""
 
     def __init__(self, clock: Clock) -> None:
         self._pools = Pools(clock, max_idle=2)
 
     def fetch_report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
-        """Return what a runner says of itself, some hundred milliseconds old."""
+        """Return a runner's report, which may be some hundred milliseconds old.
+
+        ``Gone``: another server answers at the address. ``None``: no usable answer.
+        """
         answer = self._call("GET", "/v1/report", b"", life, address, REPORT_TIMEOUT_MS)
         if isinstance(answer, Lost):
             return None
@@ -57,7 +60,11 @@
         return report
 
     def send_order(self, life: ServerLife, address: str, order: Order) -> OrderResult:
-        """Send an order once."""
+        """Send an order once, without retries.
+
+        On the wire, ``expectedRev`` is the number of orders that the runner must have accepted so
+        far, ``dutyHolder`` the lease holder and ``fenceToken`` the epoch of the cell lease.
+        """
         model, _, adapter = order.name.partition("/")
         body: dict[str, Any] = {
             "operation": order.operation.value,
@@ -92,7 +99,7 @@
                 return Unusable(f"status {status} {answer.body[:100]!r}")
 
     def close_connections(self, address: str) -> None:
-        """Close the connections to a runner that is gone."""
+        """Close the idle connections to a runner that was removed."""
         self._pools.forget(address)
 
     def _call(
@@ -105,7 +112,7 @@
 
 
 def _decode_report(expected_life: ServerLife, body: bytes) -> RunnerReport | str:
-    """Return what a runner says of itself, or why it can't be used."""
+    """Return a runner's decoded report, or why it is invalid."""
     fields = read(body, ReportFields)
     if isinstance(fields, str):
         return fields
@@ -115,16 +122,16 @@
     models = decode_held_models(fields.models)
     if isinstance(models, str):
         return models
-    incoming = [parse_adapter_ref(text) for text in fields.incoming]
-    unreadable = next((ref for ref in incoming if isinstance(ref, str)), None)
-    if unreadable is not None:
-        return unreadable
+    loading_adapters = [parse_adapter_ref(text) for text in fields.incoming]
+    error = next((ref for ref in loading_adapters if isinstance(ref, str)), None)
+    if error is not None:
+        return error
     return RunnerReport(
         life=life,
         sequence=fields.sequence,
         is_changing_model=fields.busy,
         models=models,
-        loading_adapters=tuple(incoming),
+        loading_adapters=tuple(loading_adapters),
         running_requests=fields.active,
         waiting_requests=fields.queued,
         memory_used=int(fields.kv_used),
--- a/monsoonflow/platform/headers.py
+++ b/monsoonflow/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translates the headers of requests and answers."""
+"""Translates the platform's headers of requests and answers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         LAST_EVENT_ID_HEADER,
     }
 )
-"""What a caller says of these is dropped: they are orders to a server, or set anew at each send."""
+"""Dropped from callers' requests: they are orders to a server, or are set for each attempt."""
 
 REQUIRED_HEADERS: Final = frozenset(
     {
@@ -45,7 +45,7 @@
         LENGTH_HINT_HEADER,
     }
 )
-"""A caller can't have these dropped by naming them in its ``Connection`` header."""
+"""Forwarded even if a caller lists them in its ``Connection`` header."""
 
 SINGLE_VALUE_HEADERS: Final = (
     REQUEST_ID_HEADER,
@@ -58,55 +58,58 @@
 
 
 class HeaderDialect:
-    """The headers of the platform's callers and backend servers."""
+    """Reads and writes the headers of the platform's callers and backend servers."""
 
     def read_call(self, request: Request) -> Call | Malformed:
-        """Return what a caller says of its request."""
-        values: dict[bytes, bytes] = {}
+        """Return the call that a request's headers describe, or why they are malformed."""
+        value_by_name: dict[bytes, bytes] = {}
         for name, value in request.headers:
             key = name.lower()
-            if key in values and key in SINGLE_VALUE_HEADERS:
-                return Malformed(f"{key.decode()} is given twice")
-            values[key] = value
-        if not values.get(REQUEST_ID_HEADER):
-            return Malformed("a request id is needed")
+            if key in value_by_name and key in SINGLE_VALUE_HEADERS:
+                return Malformed(f"duplicate header: {key.decode()}")
+            value_by_name[key] = value
+        if not value_by_name.get(REQUEST_ID_HEADER):
+            return Malformed("missing header: x-request-id")
         try:
-            return self._decode_call(request, values)
+            return self._decode_call(request, value_by_name)
         except ValueError as error:
             return Malformed(f"malformed header: {error}")
 
     def _decode_call(self, request: Request, value_by_name: dict[bytes, bytes]) -> Call:
         model, _, adapter = value_by_name.get(MODEL_HEADER, b"").decode("ascii").partition("/")
-        prompt, _, output = (
+        prompt_tokens, _, max_output_tokens = (
             value_by_name.get(TOKEN_COUNT_HEADER, b"0,0").decode("ascii").partition(",")
         )
-        deadline = value_by_name.get(DEADLINE_HEADER)
-        hint = value_by_name.get(LENGTH_HINT_HEADER)
-        last_part = (
+        deadline_ms = value_by_name.get(DEADLINE_HEADER)
+        length_hint = value_by_name.get(LENGTH_HINT_HEADER)
+        last_prefix = (
             value_by_name.get(PROMPT_PREFIX_HEADER, b"").rpartition(b",")[2].partition(b":")[0]
         )
         return Call(
             request_id=value_by_name[REQUEST_ID_HEADER].decode("latin-1"),
             host=value_by_name[b"host"].decode("latin-1"),
             path=request.target.partition(b"?")[0].decode("latin-1"),
-            deadline_ms=None if deadline is None else max(0, int(float(deadline))),
+            deadline_ms=None if deadline_ms is None else max(0, int(float(deadline_ms))),
             model=model or None,
             adapter=f"{model}/{adapter}" if adapter else None,
-            prompt_tokens=int(prompt or 0),
-            max_output_tokens=int(output or 0),
-            length_hint=int(float(hint)) if hint else None,
-            session=last_part.decode("latin-1").strip() or None,
+            prompt_tokens=int(prompt_tokens or 0),
+            max_output_tokens=int(max_output_tokens or 0),
+            length_hint=int(float(length_hint)) if length_hint else None,
+            session=last_prefix.decode("latin-1").strip() or None,
             last_event_id=value_by_name.get(LAST_EVENT_ID_HEADER),
         )
 
     def forwarded_head(self, request: Request, forwarded: ForwardedRequest) -> bytes:
-        """Return the head of the request to a server: the caller's, less what is not for it."""
-        dropped = self._dropped_names(request.headers)
+        """Return the head of the request to a server.
+
+        It holds the caller's headers, except those that must not be forwarded, and this node's.
+        """
+        dropped_names = self._dropped_names(request.headers)
         lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
         lines += [
             b"%s: %s" % (name, value)
             for name, value in request.headers
-            if name.lower() not in dropped
+            if name.lower() not in dropped_names
         ]
         if request.body or request.method in (b"POST", b"PUT", b"PATCH"):
             lines.append(b"Content-Length: %d" % len(request.body))
@@ -121,7 +124,7 @@
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
     def read_answer(self, head: AnswerHead) -> AnswerTerms:
-        """Return what a server says of its answer."""
+        """Return what an answer's headers say about it."""
         request_id = head.value(REQUEST_ID_HEADER)
         return AnswerTerms(
             request_id=None if request_id is None else request_id.decode("latin-1"),
@@ -131,12 +134,12 @@
         )
 
     def forwarded_headers(self, head: AnswerHead) -> list[Header]:
-        """Return the headers of an answer that go on to the caller."""
-        dropped = self._dropped_names(head.headers)
-        return [(name, value) for name, value in head.headers if name.lower() not in dropped]
+        """Return the headers of an answer that are forwarded to the caller."""
+        dropped_names = self._dropped_names(head.headers)
+        return [(name, value) for name, value in head.headers if name.lower() not in dropped_names]
 
     def own_answer_headers(self, call: Call | None, retry_after_ms: int | None) -> list[Header]:
-        """Return the headers of an answer of this node's own."""
+        """Return the headers of an answer that this node itself gives."""
         headers: list[Header] = []
         if call is not None:
             headers.append((b"X-Request-Id", call.request_id.encode("latin-1")))
@@ -146,13 +149,13 @@
 
     @staticmethod
     def _dropped_names(headers: list[Header]) -> frozenset[bytes]:
-        named = {
+        listed_names = {
             token.strip().lower()
             for name, value in headers
             if name.lower() == b"connection"
             for token in value.split(b",")
         }
-        return ONE_CONNECTION_ONLY | NODE_SET_HEADERS | (named - REQUIRED_HEADERS)
+        return ONE_CONNECTION_ONLY | NODE_SET_HEADERS | (listed_names - REQUIRED_HEADERS)
 
 
 def _parse_retry_after_ms(value: bytes | None) -> int | None:
--- a/monsoonflow/platform/outside.py
+++ b/monsoonflow/platform/outside.py
@@ -1,4 +1,4 @@
-"""Puts the translation together for an entry process."""
+"""Combines this package's parts into the platform integration of an entry process."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class RowDecoders:
-    """Decodes the rows of the operator and of the servers."""
+    """Decodes the rows of the operator and of the backend servers."""
 
     operator_collection = configuration.OPERATOR_TABLE
     server_collection = servers.SERVERS_TABLE
     own_collection = store.OWN_TABLE
 
     def table(self, body: bytes) -> RouteTable | str:
-        """Return the routes that a row's bytes hold, or why they can't be used."""
+        """Return the route table that a configuration's bytes hold, or why it is invalid."""
         return configuration.decode_route_table(body)
 
     def routes(self, key: str, body: bytes) -> RouteTable | str | None:
-        """Return the routes; a text says why not; ``None``: the row holds something else."""
+        """Return the route table, or why it is invalid; ``None`` for a row of another kind."""
         return (
             configuration.decode_route_table(body)
             if key == configuration.CONFIGURATION_KEY
@@ -36,18 +36,18 @@
         )
 
     def adapter_version(self, key: str, body: bytes) -> AdapterRef | str | None:
-        """Return a named adapter version; a text says why not; ``None``: something else."""
+        """Return the operator's adapter version, or why it is invalid; ``None`` for another row."""
         if not key.startswith(configuration.ADAPTER_VERSION_PREFIX):
             return None
         return configuration.decode_adapter_version(body)
 
     def server(self, key: str, body: bytes) -> BackendServer | str:
-        """Return a backend server's entry; a text says why not."""
+        """Return a backend server, or why its row is invalid."""
         return servers.decode_server(key, body)
 
 
 class PlatformOutside:
-    """The platform, as an entry process sees it."""
+    """Provides an entry process with what depends on the platform."""
 
     def __init__(self, settings: EntrySettings, clock: Clock) -> None:
         self._settings = settings
@@ -57,27 +57,27 @@
         self.decoders = RowDecoders()
 
     def raw_table(self) -> store.PlatformStore:
-        """Return the table service."""
+        """Return a client of the table service."""
         return self.feed()
 
     def feed(self) -> store.PlatformStore:
-        """Return a change feed with a connection of its own."""
-        found = store.PlatformStore(self._settings.store_address, self._clock)
-        self._stores.append(found)
-        return found
+        """Return a change feed with its own connections."""
+        client = store.PlatformStore(self._settings.store_address, self._clock)
+        self._stores.append(client)
+        return client
 
     def store_calls(self) -> int:
-        """Return how many calls to the store were made."""
-        return sum(found.call_count for found in self._stores)
+        """Return the number of calls made to the store."""
+        return sum(client.call_count for client in self._stores)
 
     def runners(self) -> RunnerControl:
-        """Return the way to the runners."""
+        """Return the client of the model runners."""
         return PlatformRunnerControl(self._clock)
 
     def readiness(self, ready: Callable[[], bool]) -> Handler:
-        """Return the handler of the readiness address."""
+        """Return the handler of readiness checks."""
         return directory.readiness_handler(ready)
 
     def directory(self, choose: Callable[[str | None], tuple[list[str], float]]) -> Handler:
-        """Return the handler of the directory address."""
+        """Return the handler of address lookups."""
         return directory.directory_handler(choose)
--- a/monsoonflow/platform/schema.py
+++ b/monsoonflow/platform/schema.py
@@ -1,8 +1,8 @@
-"""What the platform's rows and answers hold, checked field by field and never coerced.
+"""Schemas of the platform's rows and answers: each field is checked and never coerced.
 
-Rows may come from other writers. A number that stands where an address is due, taken for a text,
-would become a server that nobody can reach; so a field of another type makes the whole row
-unusable, and so does one that is missing.
+The field names are the platform's wire names (in camel case where the class says so). Rows may come
+from other writers. A number in place of an address, coerced to text, would become a server that
+nobody can reach; so a missing field or a field of another type makes the whole row invalid.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from msgspec import Meta, Struct
 
 MAX_COUNT: Final = 2**53
-"""Beyond this a JSON number is not exact with every writer."""
+"""Larger JSON numbers are not exact in every writer."""
 
 _OCTET: Final = r"(25[0-5]|2[0-4]\d|1?\d?\d)"
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
@@ -24,7 +24,7 @@
 
 
 class HeldModelFields(Struct):
-    """A base model that a runner holds; adapters are written NAME@VERSION."""
+    """A base model that a runner holds; adapters are written as NAME@VERSION."""
 
     name: NonEmptyText
     version: Count = 1
@@ -32,10 +32,13 @@
 
 
 class ServerFields(Struct, rename="camel"):
-    """A backend server's entry.
+    """The row of a backend server.
 
-    :param sequence: counts the entry's writes, not the orders that a report's field counts.
-    :param born: when the server started, in Unix milliseconds; not told on every deployment.
+    :param slots: requests that it processes at once, not slots for adapters.
+    :param sequence: number of writes of the row; in a report it is the number of orders.
+    :param version: not an adapter version; checked but not used, like ``cold_remaining_ms``.
+    :param born: start of the server in Unix milliseconds; not sent in every deployment.
+    :param remaining_ms: how long a draining server continues, if it says so.
     """
 
     service: NonEmptyText
@@ -52,10 +55,14 @@
 
 
 class ReportFields(Struct, rename="camel"):
-    """A runner's answer about itself.
-
-    :param sequence: orders that it has accepted since its start.
-    :param incoming: adapters on their way, MODEL/NAME@VERSION.
+    """The report of a model runner.
+
+    :param sequence: number of orders that it has accepted since its start.
+    :param born: start of the server in Unix milliseconds; not sent in every deployment.
+    :param busy: whether it is loading or unloading a base model.
+    :param incoming: adapters that are being loaded, written as MODEL/NAME@VERSION.
+    :param active: running requests.
+    :param queued: requests that wait at the runner.
     """
 
     sequence: Count
@@ -70,7 +77,7 @@
 
 
 class AdapterVersionFields(Struct):
-    """A version of an adapter that the operator names."""
+    """A version of an adapter that the operator published."""
 
     model: NonEmptyText
     adapter: NonEmptyText
@@ -78,14 +85,21 @@
 
 
 class TrafficSplitFields(Struct):
-    """A share of a route's requests."""
+    """The share of a route's requests that goes to one service."""
 
     service: NonEmptyText
     weight: NonNegativeNumber
 
 
 class RouteFields(Struct, rename="camel"):
-    """One route of the configuration."""
+    """One route of the configuration.
+
+    :param gap_aim_ms: the longest gap between events of a stream that is still on time.
+    :param target_latency_ms: the latency objective; ``timeout_ms`` if it is missing.
+    :param attempts: the most servers that a request may be sent to.
+    :param priority: 0 is the most urgent.
+    :param resumable: whether an interrupted stream can be resumed at another server.
+    """
 
     host: NonEmptyText
     prefix: NonEmptyText
@@ -102,7 +116,11 @@
 
 
 class BaseModelFields(Struct, rename="camel"):
-    """A base model: times in seconds, sizes in MB."""
+    """A base model: times in seconds, sizes in MB.
+
+    :param load_s: load time from the weight store; ``disk_s`` from the runner's own disk.
+    :param adapter_mb: weights of one adapter.
+    """
 
     name: NonEmptyText
     weights_mb: NonNegativeNumber
@@ -113,9 +131,12 @@
 
 
 class EngineFields(Struct, rename="camel"):
-    """What the runners of a service can hold and do.
+    """Capacity of the model runners of a service.
 
-    :param slots: requests that one step takes.
+    :param slots: largest batch of requests; ``adapter_slots`` are the slots for adapters.
+    :param kv_capacity: tokens in the KV cache of one runner.
+    :param weights_mb: memory of one runner for weights and adapters together.
+    :param load_per_s: loads of base models that the weight store allows over all runners.
     """
 
     slots: PositiveCount
@@ -135,7 +156,7 @@
 
 
 class LimitFields(Struct, rename="camel"):
-    """Bounds on what callers send."""
+    """Limits for callers' messages; a missing one has its default."""
 
     max_header_bytes: PositiveCount | None = None
     max_body_bytes: PositiveCount | None = None
--- a/monsoonflow/platform/servers.py
+++ b/monsoonflow/platform/servers.py
@@ -1,4 +1,4 @@
-"""Decodes what backend servers say of themselves."""
+"""Decodes the rows of backend servers, and what their runner reports have in common with them."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 def decode_server(server_id: str, body: bytes) -> BackendServer | str:
-    """Return a server's entry, or why it can't be used."""
+    """Return a backend server, or why its row is invalid."""
     fields = read(body, ServerFields)
     if isinstance(fields, str):
         return fields
     if int(fields.address.rpartition(":")[2]) > MAX_PORT:
-        return f"no such port: {fields.address}"
+        return f"port out of range: {fields.address}"
     models = decode_held_models(fields.models)
     if isinstance(models, str):
         return models
@@ -40,31 +40,31 @@
 
 
 def to_server_life(server_id: str, born: int | msgspec.UnsetType) -> ServerLife:
-    """Return the life that a server speaks of."""
+    """Return the life (run of the process) of a server; ``born`` is its start, if sent."""
     return ServerLife.of(server_id, None if born is msgspec.UNSET else born)
 
 
 def decode_held_models(entries: Iterable[HeldModelFields]) -> tuple[HeldModel, ...] | str:
-    """Return the models that a runner says it holds, or which word can't be read."""
+    """Return the base models that a runner holds, or why an adapter of them is invalid."""
     models = []
     for entry in entries:
-        refs = [parse_adapter_ref(f"{entry.name}/{text}") for text in entry.adapters]
-        unreadable = next((ref for ref in refs if isinstance(ref, str)), None)
-        if unreadable is not None:
-            return unreadable
+        refs = [parse_adapter_ref(f"{entry.name}/{adapter}") for adapter in entry.adapters]
+        error = next((ref for ref in refs if isinstance(ref, str)), None)
+        if error is not None:
+            return error
         models.append(HeldModel(entry.name, entry.version, tuple(refs)))
     return tuple(models)
 
 
 def parse_adapter_ref(text: str) -> AdapterRef | str:
-    """Return what ``MODEL/NAME@VERSION`` names, version 1 where it names none.
+    """Return the adapter version ``MODEL/NAME@VERSION``, version 1 if it has no ``@VERSION``.
 
     >>> str(parse_adapter_ref("m/a3")), parse_adapter_ref("m/a3@x")
-    ('m/a3@1', 'no version of an adapter: m/a3@x')
+    ('m/a3@1', 'invalid adapter version: m/a3@x')
     """
-    name, mark, version = text.partition("@")
-    if not mark:
+    name, separator, version = text.partition("@")
+    if not separator:
         return AdapterRef(name, 1)
     if not (version.isascii() and version.isdigit()):
-        return f"no version of an adapter: {text}"
+        return f"invalid adapter version: {text}"
     return AdapterRef(name, int(version))
--- a/monsoonflow/platform/settings.py
+++ b/monsoonflow/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file of a process on the platform."""
+"""Reads the settings file that the platform writes for an entry process."""
 
 from __future__ import annotations
 
@@ -16,16 +16,21 @@
     Setting(
         "node-file",
         *pattern(re.compile(r"/.+"), "an absolute path"),
-        "settings of this process as the platform writes them; read again when they change",
+        "settings file that the platform writes for this process; read again when it changes",
         "/etc/monsoonflow/local.toml",
     ),
     Setting("metrics-port", *whole(1, 65_535), "port at which metrics are read", "9464"),
-    Setting("log-level", *one_of("debug", "info", "warning", "error"), "least level", "info"),
+    Setting(
+        "log-level",
+        *one_of("debug", "info", "warning", "error"),
+        "lowest level that is logged",
+        "info",
+    ),
 ]
 
 
 class SettingsFile:
-    """The settings file, read again when it has changed."""
+    """Reads the settings file, and reads it again when it has changed."""
 
     def __init__(self, path: str, metrics_port: int) -> None:
         self._path = path
@@ -33,20 +38,20 @@
         self._last_read_stamp: tuple[int, int] | None = None
 
     def read(self) -> EntrySettings | SettingError:
-        """Return the settings as they stand."""
+        """Return the current settings, or what is wrong with them."""
         self._last_read_stamp = self._current_stamp()
         return read_settings(self._path, self._metrics_port)
 
     def reread(self) -> EntrySettings | SettingError | None:
-        """Return the settings when the file has changed, else ``None``."""
+        """Return the settings if the file has changed since it was last read, else ``None``."""
         return None if self._current_stamp() == self._last_read_stamp else self.read()
 
     def _current_stamp(self) -> tuple[int, int] | None:
         try:
-            status = os.stat(self._path)
+            file_status = os.stat(self._path)
         except OSError:
             return None
-        return status.st_mtime_ns, status.st_size
+        return file_status.st_mtime_ns, file_status.st_size
 
 
 def read_settings(path: str, metrics_port: int) -> EntrySettings | SettingError:
@@ -67,19 +72,19 @@
 
 
 def _decode(fields: Mapping[str, Any], metrics_port: int) -> EntrySettings:
-    listens = fields["listenAddrs"]
+    listen_addresses = fields["listenAddrs"]
     bounds = fields.get("contractParams", {})
     platform = fields["platform"]
-    ports = fields["portRange"]
+    port_range = fields["portRange"]
     return EntrySettings(
         name=str(fields["nodeName"]),
         ip=str(fields["bindIp"]),
         data_centre=str(fields["zone"]),
-        callers_address=str(listens["front"]),
-        ready_address=str(listens["ready"]),
-        directory_address=str(listens["directory"]),
-        peer_address=str(listens["control"]),
-        report_address=f"{fields['bindIp']}:{int(ports[0])}",
+        callers_address=str(listen_addresses["front"]),
+        ready_address=str(listen_addresses["ready"]),
+        directory_address=str(listen_addresses["directory"]),
+        peer_address=str(listen_addresses["control"]),
+        report_address=f"{fields['bindIp']}:{int(port_range[0])}",
         metrics_address=f"{fields['bindIp']}:{metrics_port}",
         seeds=tuple(str(seed) for seed in fields.get("seedNodes", ())),
         store_address=str(platform["address"]),
@@ -102,9 +107,9 @@
 
 
 def _decode_cores(limits: object) -> float:
-    """Return the processor time that the process gets; a guess where it is not told.
+    """Return the processor time that the process gets, in cores; a default if it is not given.
 
-    ``cpuCores`` is no number of cores: it is how many times as fast the one core is.
+    ``cpuCores`` is not a number of cores: it is the relative speed of the one core.
     """
     if not isinstance(limits, Mapping):
         return DEFAULT_CORES
--- a/monsoonflow/platform/store.py
+++ b/monsoonflow/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls the platform's store: rows, their changes, and objects."""
+"""Client of the platform's store: rows and their changes."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 JSON_HEADERS: Final = ((b"Content-Type", b"application/json"),)
 CALL_TIMEOUT_MS: Final = 1_500
 MAX_PAGE_ROWS: Final = 500
-"""Rows a page, the most that the store gives."""
+"""Rows per page; the store returns no more."""
 
 OWN_TABLE: Final = "monsoonflow"
-"""The table of this product's own rows."""
+"""The table with the rows of this project."""
 
 
 class PlatformStore:
-    """The store's calls, as the product's table and change feed.
+    """Implements the raw table and the change feed with calls to the store.
 
-    Product keys ``KEY`` become rows of one table with an empty part, so that one transaction can
-    bind several of them.
+    All keys of this project are rows of one table with an empty ``part``, so that one transaction
+    can change several of them.
     """
 
     def __init__(self, address: str, clock: Clock) -> None:
@@ -52,24 +52,24 @@
         self._is_feed_cancelled = False
 
     def get(self, key: str) -> Row | None | Unavailable:
-        """Return a row; ``None`` means that the store said there is none."""
+        """Return a row; ``None`` if the store answered that there is none."""
         data = self._read_page(OWN_TABLE, {"from": key, "pageLimit": 1})
         if isinstance(data, Unavailable):
             return data
-        found = [row for entry in data["rows"] if (row := _decode_entry(entry)) and row.key == key]
-        return found[0] if found else None
+        rows = [row for entry in data["rows"] if (row := _decode_entry(entry)) and row.key == key]
+        return rows[0] if rows else None
 
     def scan(self, prefix: str, after: str = "") -> list[Row] | Unavailable:
-        """Return the rows under a prefix in key order, those after a key only."""
-        rows = self._read_table(OWN_TABLE)
-        if isinstance(rows, Unavailable):
-            return rows
-        found = [_decode_row(row) for row in rows.rows if row.key.startswith(prefix)]
-        return [row for row in found if row is not None and row.key > after]
+        """Return the rows whose keys begin with a prefix, in key order, only those after a key."""
+        table = self._read_table(OWN_TABLE)
+        if isinstance(table, Unavailable):
+            return table
+        rows = [_decode_row(row) for row in table.rows if row.key.startswith(prefix)]
+        return [row for row in rows if row is not None and row.key > after]
 
     def commit_once(self, transaction: Transaction) -> CommitResult:
-        """Send a transaction once."""
-        stamp = {"op": transaction.operation_id}
+        """Send a transaction once, without retries."""
+        operation_field = {"op": transaction.operation_id}
         body = {
             "expectedRev": [
                 {**_row_address(key), "rowVersion": version}
@@ -78,7 +78,7 @@
             "setKeys": [
                 {
                     **_row_address(key),
-                    "value": _encode_value({**value, **stamp}),
+                    "value": _encode_value({**value, **operation_field}),
                 }
                 for key, value in transaction.puts.items()
             ],
@@ -104,7 +104,11 @@
     def changes(
         self, collection: str, after: int, wait_ms: int, answer_ms: int = CALL_TIMEOUT_MS
     ) -> Changes | HistoryLost | Unavailable:
-        """Return what changed in a table after a version, as soon as there is something."""
+        """Return the changes of a table after a version, as soon as there are any.
+
+        :param wait_ms: how long the store waits for changes.
+        :param answer_ms: how much longer its answer may take.
+        """
         self._is_feed_cancelled = False
         query = urlencode({"table": collection, "after": after, "waitMs": wait_ms})
         answer = self._call(
@@ -124,7 +128,7 @@
         return Changes(tuple(rows), int(data["rowVersion"]))
 
     def hang_up(self) -> None:
-        """End the question for changes in progress, also one that still has no connection."""
+        """Cancel the request for changes in progress, even if it still has no connection."""
         self._is_feed_cancelled = True
         if self._feed_connection is not None:
             self._feed_connection.close()
@@ -136,9 +140,9 @@
 
     def _read_table(self, table: str) -> Changes | Unavailable:
         rows: list[ChangedRow] = []
-        start = ""
+        start_key = ""
         while True:
-            query = {"pageLimit": MAX_PAGE_ROWS, **({"from": start} if start else {})}
+            query = {"pageLimit": MAX_PAGE_ROWS, **({"from": start_key} if start_key else {})}
             data = self._read_page(table, query)
             if isinstance(data, Unavailable):
                 return data
@@ -148,12 +152,12 @@
             rows += page
             if not data.get("hasMore") or not data["rows"]:
                 return Changes(tuple(rows), int(data["rowVersion"]))
-            # The range begins with its first key: the next page starts right behind the last one.
-            start = data["rows"][-1]["key"] + "\x00"
+            # A page includes its start key: the next one starts with the next possible key.
+            start_key = data["rows"][-1]["key"] + "\x00"
 
     def _read_page(self, table: str, query: dict[str, Any]) -> dict[str, Any] | Unavailable:
-        text = urlencode({"table": table, "part": "", **query})
-        answer = self._call("GET", f"/v1/rows-get?{text}", b"", CALL_TIMEOUT_MS)
+        encoded_query = urlencode({"table": table, "part": "", **query})
+        answer = self._call("GET", f"/v1/rows-get?{encoded_query}", b"", CALL_TIMEOUT_MS)
         if isinstance(answer, Lost):
             return Unavailable(answer.reason)
         data = _decode_json_object(answer)
@@ -200,7 +204,10 @@
 
 
 def _decode_changed_row(entry: Any) -> ChangedRow | None:
-    """Return a row; a malformed one is logged and skipped, it must never stop a process."""
+    """Return a changed row; ``None`` for a malformed one, which is logged.
+
+    A malformed row is skipped because it must never stop a process.
+    """
     try:
         body = None if entry.get("removed") else base64.b64decode(entry["value"], validate=True)
         return ChangedRow(str(entry["key"]), int(entry["rowVersion"]), body)
@@ -210,8 +217,8 @@
 
 
 def _decode_entry(entry: Any) -> Row | None:
-    changed = _decode_changed_row(entry)
-    return None if changed is None else _decode_row(changed)
+    changed_row = _decode_changed_row(entry)
+    return None if changed_row is None else _decode_row(changed_row)
 
 
 def _decode_row(changed_row: ChangedRow) -> Row | None:
