--- a/tests/platform/test_directory.py
+++ b/tests/platform/test_directory.py
@@ -1,4 +1,4 @@
-"""What callers are told when they ask which address to use."""
+"""Tests of address lookups: which zone of a query is used, and the answer."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from monsoonflow.transport.models import Request
 
 
-class Reply:
-    """Takes an answer."""
+class FakeReply:
+    """Records an answer."""
 
     status = 0
     body = b""
 
     def whole(self, status: int, _headers: object, body: bytes = b"") -> None:
-        """Take a whole one."""
+        """Record a complete answer."""
         self.status, self.body = status, body
 
 
@@ -33,16 +33,16 @@
         (b"?zone=hall-a&zone=hall-b", "hall-a"),
     ],
 )
-def test_any_question_is_answered(query: bytes, zone: str | None):
-    """A question with an unknown zone, none, or fifty fields gets addresses all the same."""
-    asked = []
+def test_any_query_gets_addresses(query: bytes, zone: str | None):
+    """A query with an unknown zone, without one or with fifty fields gets addresses, too."""
+    requested_zones = []
 
-    def choose(where: str | None) -> tuple[list[str], float]:
-        asked.append(where)
+    def choose(requested_zone: str | None) -> tuple[list[str], float]:
+        requested_zones.append(requested_zone)
         return ["1.1.1.1:1"], 2.0
 
-    reply = Reply()
+    reply = FakeReply()
     request = Request(b"GET", b"/v1/resolve" + query, "1.1", [], b"", True, 0)
     directory_handler(choose)(request, reply)
-    assert asked == [zone]
+    assert requested_zones == [zone]
     assert (reply.status, reply.body) == (200, b'{"addresses":["1.1.1.1:1"],"ttlS":2.0}')
--- a/tests/platform/test_invalid_rows.py
+++ b/tests/platform/test_invalid_rows.py
@@ -1,4 +1,4 @@
-"""Rows that another writer spoilt: each is refused whole, and nothing in it is coerced."""
+"""Tests that invalid rows of other writers are refused as a whole and that no field is coerced."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from monsoonflow.routing.routes import RouteTable
 from tests.entry.conftest import CONFIG
 
-ENTRY: dict[str, Any] = {
+SERVER_ROW: dict[str, Any] = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "z",
@@ -33,29 +33,29 @@
     "born": 1_764_718_000_123,
     "models": [{"name": "m", "version": 1, "adapters": ["a1@2"]}],
 }
-NEEDED = tuple(key for key in ENTRY if key not in ("born", "models"))
-WRONG = [None, True, -1, 1.5, "", "x", [], {}, [1], {"a": 1}, 2**70]
+REQUIRED_FIELDS = tuple(key for key in SERVER_ROW if key not in ("born", "models"))
+WRONG_VALUES = [None, True, -1, 1.5, "", "x", [], {}, [1], {"a": 1}, 2**70]
 
 
-def decoded(entry: Any) -> Any:
-    return decode_server("i-1", json.dumps(entry).encode())
+def decode(row: Any) -> Any:
+    return decode_server("i-1", json.dumps(row).encode())
 
 
-def raw(**changes: str) -> bytes:
-    """Return an entry's bytes with some values written by hand."""
-    fields = {key: orjson.dumps(value).decode() for key, value in ENTRY.items()} | changes
+def row_with_raw_values(**changes: str) -> bytes:
+    """Return a server row's bytes, some fields replaced by given JSON text."""
+    fields = {key: orjson.dumps(value).decode() for key, value in SERVER_ROW.items()} | changes
     return ("{" + ",".join(f'"{key}":{value}' for key, value in fields.items()) + "}").encode()
 
 
-def test_a_good_entry_is_taken_whole():
-    server = decoded(ENTRY)
+def test_valid_server_row_is_decoded():
+    server = decode(SERVER_ROW)
     assert isinstance(server, BackendServer)
-    assert (server.life.server_id, server.life.born_ms) == ("i-1", ENTRY["born"])
+    assert (server.life.server_id, server.life.born_ms) == ("i-1", SERVER_ROW["born"])
 
 
-@pytest.mark.parametrize("name", NEEDED)
-def test_an_entry_that_lacks_a_field_names_no_server(name):
-    assert isinstance(decoded({k: v for k, v in ENTRY.items() if k != name}), str)
+@pytest.mark.parametrize("name", REQUIRED_FIELDS)
+def test_server_row_without_a_required_field_is_invalid(name):
+    assert isinstance(decode({k: v for k, v in SERVER_ROW.items() if k != name}), str)
 
 
 @pytest.mark.parametrize(
@@ -90,9 +90,9 @@
         ("models", [{"name": "m", "adapters": ["a1@x"]}]),
     ],
 )
-def test_an_entry_with_a_field_of_another_kind_names_no_server(name, value):
-    """Coerced, the number 5 would be the address "5", and the text "96" slots for 96 requests."""
-    assert isinstance(decoded({**ENTRY, name: value}), str)
+def test_server_row_with_an_invalid_field_is_invalid(name, value):
+    """Coerced, 5 would become the address "5", and the text "96" a capacity of 96 requests."""
+    assert isinstance(decode({**SERVER_ROW, name: value}), str)
 
 
 @pytest.mark.parametrize(
@@ -106,19 +106,19 @@
         b"\xff\xfe{}",
         b"[" * 100_000,
         b'{"a":' * 50_000,
-        raw(slots="NaN"),
-        raw(slots="1e400"),
-        raw(slots="9" * 5_000),
-        raw(born="1764718000123.0"),
-        raw()[:-1] + b',"address":"10.0.0.9:80"}',
-        raw(zone='"\xff"').decode("utf-8").encode("latin-1"),
+        row_with_raw_values(slots="NaN"),
+        row_with_raw_values(slots="1e400"),
+        row_with_raw_values(slots="9" * 5_000),
+        row_with_raw_values(born="1764718000123.0"),
+        row_with_raw_values()[:-1] + b',"address":"10.0.0.9:80"}',
+        row_with_raw_values(zone='"\xff"').decode("utf-8").encode("latin-1"),
     ],
 )
-def test_bytes_that_are_no_entry_name_no_server(body):
+def test_malformed_server_row_is_invalid(body):
     assert isinstance(decode_server("i-1", body), str)
 
 
-JSON = st.recursive(
+ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(), inner, max_size=3),
     max_leaves=8,
@@ -126,24 +126,24 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.sampled_from(sorted(ENTRY)), JSON)
-def test_whatever_stands_in_an_entry_is_taken_as_it_is_or_not_at_all(name, value):
-    server = decoded({**ENTRY, name: value})
+@given(st.sampled_from(sorted(SERVER_ROW)), ANY_JSON)
+def test_server_row_is_never_coerced(name, value):
+    server = decode({**SERVER_ROW, name: value})
     if isinstance(server, str):
         return
-    kept = {
+    decoded_fields = {
         "service": server.service,
         "address": server.address,
         "slots": server.max_concurrent_requests,
     }
-    if name in kept:
-        assert kept[name] == value
-        assert type(kept[name]) is type(value)
+    if name in decoded_fields:
+        assert decoded_fields[name] == value
+        assert type(decoded_fields[name]) is type(value)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.binary(max_size=200))
-def test_no_bytes_stop_a_reader_of_rows(body):
+def test_no_bytes_raise_in_a_row_decoder(body):
     assert isinstance(decode_server("i-1", body), str | BackendServer)
     assert isinstance(decode_route_table(body), str | RouteTable)
     assert isinstance(decode_adapter_version(body), str) or body
@@ -153,38 +153,38 @@
     )
 
 
-def paths(value: Any, at: tuple = ()) -> list[tuple]:
-    """Return the way to each part of a value."""
-    inner = value.items() if isinstance(value, dict) else enumerate(value)
-    found = []
-    for key, part in inner:
-        found.append((*at, key))
+def paths(value: Any, prefix: tuple = ()) -> list[tuple]:
+    """Return the path to each part of a value: its keys and indexes."""
+    items = value.items() if isinstance(value, dict) else enumerate(value)
+    result = []
+    for key, part in items:
+        result.append((*prefix, key))
         if isinstance(part, dict | list):
-            found += paths(part, (*at, key))
-    return found
+            result += paths(part, (*prefix, key))
+    return result
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(st.sampled_from(paths(CONFIG)), st.sampled_from(WRONG) | JSON)
-def test_a_spoilt_configuration_is_taken_as_it_is_or_not_at_all(path, value):
-    """The last good one stays in force; no part of a spoilt one may be guessed."""
-    spoilt = copy.deepcopy(CONFIG)
-    part = spoilt
+@given(st.sampled_from(paths(CONFIG)), st.sampled_from(WRONG_VALUES) | ANY_JSON)
+def test_configuration_with_an_invalid_part_is_never_coerced(path, value):
+    """The last valid configuration stays in use; no part of an invalid one may be guessed."""
+    configuration = copy.deepcopy(CONFIG)
+    part = configuration
     for key in path[:-1]:
         part = part[key]
     part[path[-1]] = value
-    table = decode_route_table(json.dumps(spoilt).encode())
-    if isinstance(table, str):
+    route_table = decode_route_table(json.dumps(configuration).encode())
+    if isinstance(route_table, str):
         return
     if path == ("version",):
-        assert table.version == value
-    for route in table.routes():
+        assert route_table.version == value
+    for route in route_table.routes():
         assert isinstance(route.host, str)
         assert isinstance(route.max_attempts, int)
 
 
 @pytest.mark.parametrize("version", ["2", True, 1.5, 0, -1, None, [], 2**70])
-def test_a_version_that_is_no_number_is_none(version):
+def test_adapter_version_that_is_not_a_positive_number_is_invalid(version):
     body = json.dumps({"model": "m", "adapter": "a", "version": version}).encode()
     assert isinstance(decode_adapter_version(body), str)
 
@@ -192,21 +192,28 @@
 @pytest.mark.parametrize(
     "changes", [{"epoch": "5"}, {"epoch": True}, {"holder": 5}, {"heirs": "ab"}, {"released": 0}]
 )
-def test_a_spoilt_duty_names_no_holder(changes):
-    good = {"holder": "n1", "boot": "b", "epoch": 5, "counter": 1, "heirs": [], "released": False}
-    assert decode_cell_lease("c", orjson.dumps(good)).holder == "n1"
-    assert decode_cell_lease("c", orjson.dumps({**good, **changes})) is None
+def test_cell_lease_row_with_an_invalid_field_is_ignored(changes):
+    valid_row = {
+        "holder": "n1",
+        "boot": "b",
+        "epoch": 5,
+        "counter": 1,
+        "heirs": [],
+        "released": False,
+    }
+    assert decode_cell_lease("c", orjson.dumps(valid_row)).holder == "n1"
+    assert decode_cell_lease("c", orjson.dumps({**valid_row, **changes})) is None
 
 
 @pytest.mark.parametrize("changes", [{"peer": 5}, {"name": None}, {"callers": ["10.0.0.1:1"]}])
-def test_a_spoilt_card_names_no_node(changes):
-    good = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
-    assert isinstance(decode_node_record(orjson.dumps(good)), NodeRecord)
-    assert isinstance(decode_node_record(orjson.dumps({**good, **changes})), str)
+def test_node_record_with_an_invalid_field_is_invalid(changes):
+    valid_row = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
+    assert isinstance(decode_node_record(orjson.dumps(valid_row)), NodeRecord)
+    assert isinstance(decode_node_record(orjson.dumps({**valid_row, **changes})), str)
 
 
 @pytest.mark.parametrize(
-    ("told", "cores"),
+    ("machine_fields", "cores"),
     [
         ({}, 1.0),
         ({"cores": 2.5}, 2.5),
@@ -219,12 +226,12 @@
         ({"cores": 1e-300}, 1 / 64),
     ],
 )
-def test_a_card_is_good_whatever_it_tells_of_its_machine(told, cores):
-    """Cards of nodes of an older version tell nothing of it; others may tell anything."""
-    good = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
-    assert decode_node_record(orjson.dumps({**good, **told})).cores == cores
+def test_node_record_is_valid_with_any_value_for_cores(machine_fields, cores):
+    """Records of nodes of an older version have no cores; others may have any value."""
+    valid_row = {key: "x" for key in ("name", "boot", "data_centre", "callers", "peer", "report")}
+    assert decode_node_record(orjson.dumps({**valid_row, **machine_fields})).cores == cores
 
 
-def test_a_card_survives_its_row():
-    card = NodeRecord("n", "b", "dc", "1:1", "1:2", "1:3", 2.151)
-    assert decode_node_record(orjson.dumps(encode_node_record(card))) == card
+def test_node_record_is_unchanged_after_encoding_and_decoding():
+    node_record = NodeRecord("n", "b", "dc", "1:1", "1:2", "1:3", 2.151)
+    assert decode_node_record(orjson.dumps(encode_node_record(node_record))) == node_record
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -1,4 +1,4 @@
-"""Tests of what the platform's words become in the product."""
+"""Tests of the translation of the platform's settings, rows, headers, store and runner calls."""
 
 from __future__ import annotations
 
@@ -70,14 +70,14 @@
 """
 
 
-def write(tmp_path, text):
+def write_settings(tmp_path, text):
     path = tmp_path / "node.toml"
     path.write_text(text)
     return str(path)
 
 
-def test_settings_become_the_products_own(tmp_path):
-    settings = read_settings(write(tmp_path, SETTINGS), 9464)
+def test_settings_file_is_decoded(tmp_path):
+    settings = read_settings(write_settings(tmp_path, SETTINGS), 9464)
     assert (settings.name, settings.data_centre) == ("n1", "z-1")
     assert settings.callers_address == "10.1.0.38:8149"
     assert settings.peer_address == "10.1.0.38:8144"
@@ -98,8 +98,8 @@
         ("portRange = [7380, 7395]", "portRange = []"),
     ],
 )
-def test_a_wrong_setting_is_told_in_one_line(tmp_path, before, after):
-    error = read_settings(write(tmp_path, SETTINGS.replace(before, after)), 9464)
+def test_invalid_setting_gives_an_error_of_one_line(tmp_path, before, after):
+    error = read_settings(write_settings(tmp_path, SETTINGS.replace(before, after)), 9464)
     assert isinstance(error, SettingError)
     assert "\n" not in error.line()
 
@@ -116,21 +116,21 @@
         ("[limits]\ncpuShare = 1e300\ncpuCores = 1e300", 1_024.0),
     ],
 )
-def test_what_the_machine_has_is_read_and_nothing_there_stops_a_start(tmp_path, limits, cores):
-    settings = read_settings(write(tmp_path, SETTINGS + limits), 9464)
+def test_cores_are_read_and_invalid_limits_have_defaults(tmp_path, limits, cores):
+    settings = read_settings(write_settings(tmp_path, SETTINGS + limits), 9464)
     assert settings.cores == cores
 
 
-def test_a_missing_file_is_told_in_one_line(tmp_path):
+def test_missing_settings_file_gives_an_error(tmp_path):
     assert isinstance(read_settings(str(tmp_path / "none"), 9464), SettingError)
 
 
-def test_settings_are_read_again_only_when_the_file_has_changed(tmp_path):
-    path = write(tmp_path, SETTINGS)
+def test_settings_are_read_again_only_if_the_file_has_changed(tmp_path):
+    path = write_settings(tmp_path, SETTINGS)
     file = SettingsFile(path, 9464)
     assert file.read().bounds.lease_ms == 3_500
     assert file.reread() is None
-    write(tmp_path, SETTINGS.replace("3500", "30000"))
+    write_settings(tmp_path, SETTINGS.replace("3500", "30000"))
     assert file.reread().bounds.lease_ms == 30_000
 
 
@@ -145,7 +145,7 @@
     assert table.limits.body_bytes == 100_000
 
 
-def test_a_split_route_follows_its_weights():
+def test_traffic_split_follows_the_weights():
     import random
 
     config = copy.deepcopy(CONFIG)
@@ -173,19 +173,19 @@
     )
 )
 @settings(max_examples=200, derandomize=True)
-def test_no_row_stops_a_process(value):
+def test_no_row_raises_in_a_decoder(value):
     body = orjson.dumps(value)
     decode_route_table(body)
     decode_adapter_version(body)
     decode_server("i", body)
 
 
-def test_an_adapter_version_names_model_and_adapter():
+def test_adapter_version_is_decoded():
     body = orjson.dumps({"model": "m", "adapter": "a7", "version": 3})
     assert decode_adapter_version(body) == AdapterRef("m/a7", 3)
 
 
-def test_a_server_entry_is_decoded():
+def test_server_row_is_decoded():
     body = orjson.dumps(
         {
             "service": "s",
@@ -206,14 +206,14 @@
     assert server.models[0].adapters == (AdapterRef("m/a1", 2),)
 
 
-def request(*headers, body=b""):
-    told = [(b"Host", b"h"), (b"X-Request-Id", b"r1"), *headers]
-    return Request(b"POST", b"/a/b?c=1", "1.1", told, body, True, 0)
+def create_request(*headers, body=b""):
+    all_headers = [(b"Host", b"h"), (b"X-Request-Id", b"r1"), *headers]
+    return Request(b"POST", b"/a/b?c=1", "1.1", all_headers, body, True, 0)
 
 
-def test_a_call_is_read_from_its_headers():
+def test_call_is_read_from_the_headers():
     call = HeaderDialect().read_call(
-        request(
+        create_request(
             (b"X-Model", b"m/a17"),
             (b"X-Token-Count", b"1460,80"),
             (b"X-Prompt-Prefix", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
@@ -236,13 +236,15 @@
         (b"X-Model", b"\xff"),
     ],
 )
-def test_a_call_that_can_not_be_understood_is_malformed(header):
-    assert isinstance(HeaderDialect().read_call(request(header)), Malformed)
+def test_call_with_an_invalid_header_is_malformed(header):
+    assert isinstance(HeaderDialect().read_call(create_request(header)), Malformed)
 
 
-def test_the_head_to_a_server_keeps_the_callers_and_adds_ours():
+def test_forwarded_head_keeps_headers_of_the_caller_and_adds_those_of_the_node():
     head = HeaderDialect().forwarded_head(
-        request((b"X-a", b"1"), (b"Connection", b"close"), (b"Last-Event-Id", b"3"), body=b"xy"),
+        create_request(
+            (b"X-a", b"1"), (b"Connection", b"close"), (b"Last-Event-Id", b"3"), body=b"xy"
+        ),
         ForwardedRequest(1_234, ServerLife("i-1"), rank=2, expect_version=4, last_event_id=b"9"),
     )
     lines = head.decode().split("\r\n")
@@ -256,28 +258,28 @@
     assert "Content-Length: 2" in lines
 
 
-def test_only_the_servers_own_word_means_that_nothing_ran():
+def test_only_the_header_or_status_421_says_that_a_request_did_not_run():
     dialect = HeaderDialect()
 
-    def terms(status, *headers):
+    def read_answer(status, *headers):
         return dialect.read_answer(AnswerHead(status, b"", list(headers), 0, False))
 
-    assert terms(503, (b"X-Not-Executed", b"1")).not_run
-    assert terms(421).not_run
-    assert not terms(503).not_run
-    assert not terms(429).not_run
+    assert read_answer(503, (b"X-Not-Executed", b"1")).not_run
+    assert read_answer(421).not_run
+    assert not read_answer(503).not_run
+    assert not read_answer(429).not_run
 
 
 @pytest.fixture
 def store():
-    found = StoreStandIn(f"127.0.0.1:{free_port()}")
-    found.start()
+    stand_in = StoreStandIn(f"127.0.0.1:{free_port()}")
+    stand_in.start()
     with gevent.Timeout(15):
-        yield found
-    found.stop()
+        yield stand_in
+    stand_in.stop()
 
 
-def test_a_transaction_under_a_condition(store):
+def test_transaction_is_committed_only_if_its_condition_holds(store):
     client = PlatformStore(store.address, MonotonicClock())
     first = client.commit_once(Transaction("op-1", {"k": 0}, {"k": {"v": 1}}))
     assert isinstance(first, Committed)
@@ -291,7 +293,7 @@
     assert not result.ambiguous
 
 
-def test_a_lost_answer_leaves_it_open_whether_a_write_took_effect(store):
+def test_commit_without_an_answer_is_ambiguous(store):
     client = PlatformStore(store.address, MonotonicClock())
     store.faults.lose = 1
     result = client.commit_once(Transaction("op-1", {"k": 0}, {"k": {"v": 1}}))
@@ -299,40 +301,40 @@
     assert result.ambiguous
 
 
-def test_changes_are_followed(store):
+def test_changes_are_returned_until_the_history_is_lost(store):
     client = PlatformStore(store.address, MonotonicClock())
     store.put("op", "a", {"x": 1})
-    whole = client.read_all("op")
-    assert [row.key for row in whole.rows] == ["a"]
+    all_rows = client.read_all("op")
+    assert [row.key for row in all_rows.rows] == ["a"]
     gevent.spawn_later(0.1, store.remove, "op", "a")
-    changes = client.changes("op", whole.version, 2_000)
+    changes = client.changes("op", all_rows.version, 2_000)
     assert isinstance(changes, Changes)
     assert [(row.key, row.body) for row in changes.rows] == [("a", None)]
     store.forget_history()
     assert isinstance(client.changes("op", 0, 100), HistoryLost)
 
 
-def test_a_question_that_waits_can_be_given_up_and_asked_anew(store):
-    """A question asked of a silent store would wait for 20 s, with the store long back."""
+def test_waiting_request_for_changes_can_be_cancelled_and_sent_again(store):
+    """A request to an unresponsive store would wait for 20 s, even if the store has recovered."""
     client = PlatformStore(store.address, MonotonicClock())
     store.faults.silent = True
     gevent.spawn_later(0.1, client.hang_up)
-    began_ms = MonotonicClock().now_ms()
+    started_ms = MonotonicClock().now_ms()
     assert isinstance(client.changes("op", 0, 20_000, 1_500), Unavailable)
-    assert MonotonicClock().now_ms() - began_ms < 1_000
+    assert MonotonicClock().now_ms() - started_ms < 1_000
     store.faults.silent = False
     store.put("op", "a", {"x": 1})
     assert [row.key for row in client.changes("op", 0, 0, 1_500).rows] == ["a"]
 
 
-def test_a_malformed_row_is_skipped(store):
+def test_malformed_row_is_skipped(store):
     store.put("op", "good", {"x": 1})
     store.rows["op", "bad"] = (store.version, "%")
-    whole = PlatformStore(store.address, MonotonicClock()).read_all("op")
-    assert [row.key for row in whole.rows] == ["good"]
+    all_rows = PlatformStore(store.address, MonotonicClock()).read_all("op")
+    assert [row.key for row in all_rows.rows] == ["good"]
 
 
-def test_orders_and_reports():
+def test_orders_are_sent_and_reports_are_fetched():
     runner = PlatformRunner("i-1", f"127.0.0.1:{free_port()}", "llm", "m")
     runner.start()
     control = PlatformRunnerControl(MonotonicClock())
@@ -342,14 +344,18 @@
             complete=False
         )
         assert isinstance(control.send_order(ServerLife("i-1"), runner.address, order), Stale)
-        again = attrs.evolve(order, sequence=1)
-        assert control.send_order(ServerLife("i-1"), runner.address, again) == Accepted(
+        next_order = attrs.evolve(order, sequence=1)
+        assert control.send_order(ServerLife("i-1"), runner.address, next_order) == Accepted(
             complete=True
         )
-        old = attrs.evolve(again, fence=4)
-        assert control.send_order(ServerLife("i-1"), runner.address, old) == Superseded()
-        assert control.send_order(ServerLife("i-2"), runner.address, again) == Gone()
-        assert isinstance(control.send_order(ServerLife("i-2"), "127.0.0.1:1", again), Unusable)
+        superseded_order = attrs.evolve(next_order, fence=4)
+        assert (
+            control.send_order(ServerLife("i-1"), runner.address, superseded_order) == Superseded()
+        )
+        assert control.send_order(ServerLife("i-2"), runner.address, next_order) == Gone()
+        assert isinstance(
+            control.send_order(ServerLife("i-2"), "127.0.0.1:1", next_order), Unusable
+        )
         report = control.fetch_report(ServerLife("i-1"), runner.address)
         assert report.sequence == 1
         assert report.models[0].adapters == (AdapterRef("m/a1", 1),)
