--- a/monsoonflow/platform/schema.py
+++ b/monsoonflow/platform/schema.py
@@ -2,7 +2,7 @@
 
 The field names are the platform's wire names (in camel case where the class says so). Rows may come
 from other writers. A number in place of an address, coerced to text, would become a server that
-nobody can reach; so a missing field or a field of another type makes the whole row invalid.
+nobody can reach; so a field of another type or a missing required one makes the whole row invalid.
 """
 
 from __future__ import annotations
--- a/monsoonflow/platform/servers.py
+++ b/monsoonflow/platform/servers.py
@@ -1,4 +1,4 @@
-"""Decodes the rows of backend servers, and what their runner reports have in common with them."""
+"""Decodes the rows of backend servers and the fields that runner reports share with them."""
 
 from __future__ import annotations
 
--- a/monsoonflow/platform/settings.py
+++ b/monsoonflow/platform/settings.py
@@ -72,6 +72,15 @@
 
 
 def _decode(fields: Mapping[str, Any], metrics_port: int) -> EntrySettings:
+    """Return the settings that the file's fields hold.
+
+    Some of the platform's names need an explanation: ``front`` is the address for callers and
+    ``control`` the one for peers; the first port of ``portRange`` receives heartbeats (UDP);
+    ``budgetRatio`` and the like are the retry budget; loads of base models are counted within
+    ``ceilingWindowS``; no orders are sent for ``thawMs`` after the process was suspended.
+
+    :raises KeyError: if a required field is missing; other exceptions for invalid values.
+    """
     listen_addresses = fields["listenAddrs"]
     bounds = fields.get("contractParams", {})
     platform = fields["platform"]
--- a/monsoonflow/platform/store.py
+++ b/monsoonflow/platform/store.py
@@ -68,7 +68,11 @@
         return [row for row in rows if row is not None and row.key > after]
 
     def commit_once(self, transaction: Transaction) -> CommitResult:
-        """Send a transaction once, without retries."""
+        """Send a transaction once, without retries.
+
+        On the wire, ``expectedRev`` lists the row versions that must still be current. ``op`` in
+        a row's value is the id of the transaction that wrote it.
+        """
         operation_field = {"op": transaction.operation_id}
         body = {
             "expectedRev": [
