--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -31,7 +31,7 @@
 from monsoonflow.rpc import control_pb2 as pb
 from monsoonflow.runner.aggregate import Runner
 from monsoonflow.runner.const import Permission
-from monsoonflow.runner.models import RunnerLimits, Waiting, Weights
+from monsoonflow.runner.models import LoadWeights, RunnerLimits, WaitingRequest
 from script.fleet import Fleet
 
 from .forwarder import CountingForwarder
@@ -90,10 +90,10 @@
     """Return runner aggregates with eight adapters and heat for fifty."""
     made = []
     for number in range(count):
-        runner = Runner(f"m{number}", RunnerLimits(8, 32), Weights(), "boot")
+        runner = Runner(f"m{number}", RunnerLimits(8, 32), LoadWeights(), "boot")
         runner.adopt({AdapterRef(f"a{number}-{slot}", 1): set() for slot in range(8)}, 0)
         for other in range(50):
-            waiting = Waiting(f"r{number}.{other}", AdapterRef(f"b{other}", 1), "c", 0)
+            waiting = WaitingRequest(f"r{number}.{other}", AdapterRef(f"b{other}", 1), "c", 0)
             runner.enqueue(waiting)
             runner.withdraw(waiting.request_id)
         made.append(runner)
@@ -183,9 +183,9 @@
     encoded = report(11).SerializeToString()
 
     def decide(number: int) -> None:
-        runner.enqueue(Waiting(f"q{number}.1", resident, "c", number))
-        runner.dispatches(number, Permission.ALL)
-        runner.ended(f"q{number}.1", number)
+        runner.enqueue(WaitingRequest(f"q{number}.1", resident, "c", number))
+        runner.dispatch_ready(number, Permission.ALL)
+        runner.handle_run_end(f"q{number}.1", number)
 
     life = streams(1)[0].life
     base = len(life.chunks)
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -12,7 +12,7 @@
 from monsoonflow.placement.runner_selection import choose_runner
 from monsoonflow.placement.spread import SpreadTuning
 from monsoonflow.runner.aggregate import Runner
-from monsoonflow.runner.models import AdapterQueue, LoadCandidate, Slot, Waiting, Weights
+from monsoonflow.runner.models import AdapterQueue, LoadCandidate, LoadWeights, Slot, WaitingRequest
 
 Choose = Callable[[AdapterRef, Mapping[str, RunnerView], random.Random], str]
 OPEN_ENDED_MS = 10**9
@@ -21,19 +21,21 @@
 class LruRunner(Runner):
     """Evicts what was used longest ago."""
 
-    def _victim(self, now_ms: int) -> Slot | None:
-        idle = [slot for slot in self.slot_by_adapter.values() if self._may_go(slot)]
+    def _choose_victim(self, now_ms: int) -> Slot | None:
+        idle = [slot for slot in self.slot_by_adapter.values() if self._is_evictable(slot)]
         return min(idle, key=lambda slot: slot.last_used_ms, default=None)
 
 
 class FcfsRunner(Runner):
     """Serves and loads in the order of arrival."""
 
-    def _candidate(self, adapter: AdapterRef, queue: AdapterQueue, now_ms: int) -> LoadCandidate:
-        score = float(now_ms - queue.oldest_ms())
+    def _load_candidate(
+        self, adapter: AdapterRef, queue: AdapterQueue, now_ms: int
+    ) -> LoadCandidate:
+        score = float(now_ms - queue.oldest_enqueued_ms())
         return LoadCandidate(self.runner_id, adapter, score, False, queue.count)
 
-    def _next_waiting(self) -> Waiting | None:
+    def _next_waiting(self) -> WaitingRequest | None:
         heads = [
             head
             for adapter in self.resident()
@@ -89,7 +91,7 @@
     name: str
     choose: Choose
     runner: type[Runner] = Runner
-    weights: Weights = Weights()
+    weights: LoadWeights = LoadWeights()
     ordered: bool = True
     spread: SpreadTuning = SpreadTuning()
     background_every: int = 1
@@ -104,16 +106,16 @@
     ]
 
 
-def product(weights: Weights, tuning: PlacementTuning, spread: SpreadTuning) -> Policy:
+def product(weights: LoadWeights, tuning: PlacementTuning, spread: SpreadTuning) -> Policy:
     """Return the product's policy."""
     return Policy("monsoonflow", ours(tuning), Runner, weights, spread=spread, background_every=4)
 
 
-def ablations(weights: Weights, tuning: PlacementTuning, spread: SpreadTuning) -> list[Policy]:
+def ablations(weights: LoadWeights, tuning: PlacementTuning, spread: SpreadTuning) -> list[Policy]:
     """Return the product's policy less one part at a time."""
     full = product(weights, tuning, spread)
     never_close = attrs.evolve(weights, close_after_ms=OPEN_ENDED_MS)
-    no_bound = attrs.evolve(weights, wait_bound_ms=OPEN_ENDED_MS)
+    no_bound = attrs.evolve(weights, max_wait_ms=OPEN_ENDED_MS)
     one_home = attrs.evolve(tuning, max_replicas=1)
     return [
         attrs.evolve(full, name="less affinity", choose=resident_first),
--- a/measure/policy.py
+++ b/measure/policy.py
@@ -14,7 +14,7 @@
 
 from monsoonflow.placement.models import PlacementTuning
 from monsoonflow.placement.spread import SpreadTuning
-from monsoonflow.runner.models import Weights
+from monsoonflow.runner.models import LoadWeights
 
 from .policies import Policy, ablations, baselines, product
 from .policy_world import Job, PolicyWorld
@@ -31,11 +31,11 @@
 }
 TUNING = {
     "association": (
-        Weights(stall=0.5, batch=2.0),
+        LoadWeights(stall=0.5, batch=2.0),
         PlacementTuning(),
         SpreadTuning(fill=0.8, stall_ms=1_000),
     ),
-    "drought desk": (Weights(), PlacementTuning(), SpreadTuning(fill=0.8, stall_ms=200)),
+    "drought desk": (LoadWeights(), PlacementTuning(), SpreadTuning(fill=0.8, stall_ms=200)),
 }
 
 
--- a/measure/policy_world.py
+++ b/measure/policy_world.py
@@ -15,7 +15,7 @@
 from monsoonflow.placement.spread import Spread, demand_of, runners_in_use
 from monsoonflow.runner.aggregate import Runner
 from monsoonflow.runner.const import Permission
-from monsoonflow.runner.models import Load, Order, RunnerLimits, Unload, Waiting
+from monsoonflow.runner.models import Load, Order, RunnerLimits, Unload, WaitingRequest
 
 from .policies import Policy
 from .workloads import Place, Request, Workload
@@ -103,7 +103,7 @@
         name = str(request.number)
         self.jobs[name] = job
         runner.enqueue(
-            Waiting(
+            WaitingRequest(
                 name,
                 request.adapter,
                 request.customer,
@@ -116,7 +116,7 @@
 
     def _decide(self, runner_id: str) -> None:
         runner = self.runner_by_id[runner_id]
-        for dispatch in runner.dispatches(self.now_ms, ALL):
+        for dispatch in runner.dispatch_ready(self.now_ms, ALL):
             self.jobs[dispatch.request_id].first_ms = self.now_ms + self.place.step_ms
         if runner.running and runner_id not in self._stepping:
             self._stepping.add(runner_id)
@@ -126,7 +126,7 @@
     def _step(self, runner_id: str) -> None:
         self._stepping.discard(runner_id)
         runner = self.runner_by_id[runner_id]
-        running = list(runner.adapter_by_running)
+        running = list(runner.adapter_by_run_id)
         self.steps += 1
         self.filled += len(running)
         for name in running:
@@ -134,7 +134,7 @@
             job.left -= 1
             if job.left <= 0:
                 job.ended_ms = self.now_ms
-                self._carry_out(runner, runner.ended(name, self.now_ms))
+                self._carry_out(runner, runner.handle_run_end(name, self.now_ms))
         self._decide(runner_id)
 
     def _start_loads(self) -> None:
@@ -165,7 +165,7 @@
             match order:
                 case Unload(adapter=adapter):
                     self._note_unload(runner.runner_id, adapter)
-                    self._carry_out(runner, runner.unloaded(adapter))
+                    self._carry_out(runner, runner.handle_unloaded(adapter))
                 case Load(adapter=adapter):
                     self._advance_store()
                     self.loading[(runner.runner_id, adapter)] = 1.0
@@ -208,13 +208,13 @@
         runner = self.runner_by_id[runner_id]
         if self.rng.random() < self.workload.fail_loads:
             self.failed_loads += 1
-            runner.load_failed(adapter, self.now_ms)
+            runner.handle_load_failure(adapter, self.now_ms)
             self._at(self.now_ms + 520, lambda: self._decide(runner_id))
             return
         self.loads += 1
-        runner.loaded(adapter, self.now_ms)
+        runner.handle_loaded(adapter, self.now_ms)
         queue = runner.queue_by_adapter.get(adapter)
-        for waiting in queue.all() if queue else []:
+        for waiting in queue.waiting_requests() if queue else []:
             job = self.jobs[waiting.request_id]
             if job.resident_at_ms is None:
                 job.resident_at_ms = self.now_ms
@@ -237,13 +237,13 @@
     def _restart(self) -> None:
         """Let a runner restart empty: its runs begin again as waiting requests."""
         runner = self.runner_by_id["m0"]
-        lost = list(runner.adapter_by_running)
+        lost = list(runner.adapter_by_run_id)
         for name in lost:
-            runner.ended(name, self.now_ms)
+            runner.handle_run_end(name, self.now_ms)
         runner.reconcile("b2", set())
         for name in lost:
             job = self.jobs[name]
             job.left, job.resident_at_ms = job.request.tokens, None
             request = job.request
-            runner.enqueue(Waiting(name, request.adapter, request.customer, self.now_ms))
+            runner.enqueue(WaitingRequest(name, request.adapter, request.customer, self.now_ms))
         self._decide("m0")
--- a/monsoonflow/node/context.py
+++ b/monsoonflow/node/context.py
@@ -25,7 +25,7 @@
 from ..routing.idempotency_keys import IdempotencyKeys
 from ..routing.limits import Admission, Limits, RetryBudget
 from ..rpc.client import ControlCaller
-from ..runner.models import Weights
+from ..runner.models import LoadWeights
 from ..serving.core import ServingCore
 from ..storage.models import ObjectStore, Table
 from ..storage.vms import VmListReader
@@ -94,7 +94,7 @@
             StoreShare(settings["loads-per-second"]),
             self.journal,
         )
-        self.weights = Weights(
+        self.weights = LoadWeights(
             settings["stall-weight"],
             settings["batch-weight"],
             settings["wait-bound-ms"],
--- a/monsoonflow/node/dispatcher.py
+++ b/monsoonflow/node/dispatcher.py
@@ -41,14 +41,14 @@
     def run(self) -> None:
         """Poll until the process ends."""
         while True:
-            queued = self._context.core.queued()
+            queued = self._context.core.queued_count()
             if queued:
                 self.load_wanted.set()
             self._event.wait(TICK_MS if queued else IDLE_TICK_MS)
             self._event.clear()
             for command in self._context.core.poll(self._context.now_ms()):
                 self._carry_out(command)
-            for cancel in self._context.core.cancels():
+            for cancel in self._context.core.pending_cancels():
                 self._cancel(cancel)
 
     def _carry_out(self, command: Command) -> None:
@@ -71,9 +71,11 @@
         now_ms = context.now_ms()
         ok = isinstance(result, OrderDone)
         if ok:
-            context.core.loaded(command.runner_id, command.adapter, now_ms)
+            context.core.handle_loaded(command.runner_id, command.adapter, now_ms)
         else:
-            context.core.load_failed(command.runner_id, command.adapter, result.reason, now_ms)
+            context.core.handle_load_failure(
+                command.runner_id, command.adapter, result.reason, now_ms
+            )
         context.metrics.loads.labels(command.runner_id, "done" if ok else "failed").inc()
         _LOGGER.info(
             "%s",
@@ -95,7 +97,7 @@
                 command, lambda engine: engine.unload(command.adapter, command.fence)
             )
             if isinstance(result, OrderDone):
-                self._context.core.unloaded(command.runner_id, command.adapter)
+                self._context.core.handle_unloaded(command.runner_id, command.adapter)
                 self.kick()
                 return
             owned = self._context.core.owned_by_runner.get(command.runner_id)
@@ -139,12 +141,12 @@
         context = self._context
         try:
             if command.runner_id not in context.config.runner_by_id:
-                context.core.run_over(command.runner_id, command.run_id, context.now_ms())
+                context.core.handle_run_end(command.runner_id, command.run_id, context.now_ms())
                 return
             engine = context.engine(command.runner_id)
             result = engine.cancel(OrderStamp(command.run_id, command.fence))
             if isinstance(result, OrderDone):
-                context.core.run_over(command.runner_id, command.run_id, context.now_ms())
+                context.core.handle_run_end(command.runner_id, command.run_id, context.now_ms())
                 self.kick()
             else:
                 self._context.tasks.sleep(ORDER_PAUSE_MS)
--- a/monsoonflow/node/driver.py
+++ b/monsoonflow/node/driver.py
@@ -202,7 +202,7 @@
             if life.may_have_run and not context.retry_budget.try_spend():
                 outcome = life.give_up("the retry budget is spent", 2_000)
                 step = End(outcome)
-        step = context.core.step(served.request_id, step, run_over, context.now_ms())
+        step = context.core.apply_step(served.request_id, step, run_over, context.now_ms())
         served.signal.notify()
         self._dispatcher.kick()
         return step
@@ -216,7 +216,7 @@
         served.signal.notify()
 
     def _note_stall(self, served: Served, runner_id: str) -> None:
-        if served.active.stalled:
+        if served.active.needs_adapter_load:
             waited_ms = served.active.dispatched_ms - served.active.enqueued_ms
             served.stall_ms += waited_ms
             self._context.metrics.load_stall.labels(runner_id).inc(waited_ms / 1000)
--- a/monsoonflow/node/explain.py
+++ b/monsoonflow/node/explain.py
@@ -29,7 +29,7 @@
     for slot in runner.slot_by_adapter.values():
         lines.append(f"slot: {slot.adapter} is {slot.state}, used by {len(slot.pins)} requests")
     for adapter, queue in runner.queue_by_adapter.items():
-        waited_ms = context.now_ms() - queue.oldest_ms()
+        waited_ms = context.now_ms() - queue.oldest_enqueued_ms()
         lines.append(f"queue: {queue.count} wait for {adapter}, the oldest for {waited_ms} ms")
     return lines
 
--- a/monsoonflow/node/health.py
+++ b/monsoonflow/node/health.py
@@ -6,7 +6,7 @@
 
 from ..backend.models import EngineState
 from ..helpers.logfmt import pairs
-from ..serving.models import Owned
+from ..serving.models import OwnedRunner
 from ..storage.models import Unavailable
 from .const import HEALTH_EVERY_MS, VM_LIST_EVERY_MS
 from .context import NodeContext
@@ -39,7 +39,7 @@
                 self._context.leaving.update_vm_list(set(listed.leaving))
             self._context.tasks.sleep(VM_LIST_EVERY_MS)
 
-    def _check(self, owned: Owned) -> None:
+    def _check(self, owned: OwnedRunner) -> None:
         context = self._context
         runner_id = owned.runner.runner_id
         entry = context.config.runner_by_id.get(runner_id)
@@ -71,19 +71,19 @@
             self._move_waiting(owned)
         self._dispatcher.kick()
 
-    def _end_foreign_runs(self, owned: Owned, state: EngineState, asked_ms: int) -> None:
+    def _end_foreign_runs(self, owned: OwnedRunner, state: EngineState, asked_ms: int) -> None:
         """Release the pins of an earlier owner's runs that the engine no longer reports.
 
         A run sent just before the runner changed hands is missing from reports that are older than
         its start; its pin stays until reports have caught up.
         """
-        settled_ms = owned.taken_ms + 2 * self._context.settings["report-lag-ms"]
+        settled_ms = owned.owned_since_ms + 2 * self._context.settings["report-lag-ms"]
         if asked_ms < settled_ms:
             return
         for run_id in sorted(owned.foreign_runs - set(state.running)):
-            self._context.core.run_over(owned.runner.runner_id, run_id, asked_ms)
+            self._context.core.handle_run_end(owned.runner.runner_id, run_id, asked_ms)
 
-    def _move_waiting(self, owned: Owned) -> None:
+    def _move_waiting(self, owned: OwnedRunner) -> None:
         """Send the requests that wait at a leaving runner elsewhere; none of them was offered."""
         if owned.runner.queued:
-            self._context.core.move_waiting(owned.runner.runner_id)
+            self._context.core.reassign_waiting(owned.runner.runner_id)
--- a/monsoonflow/node/heartbeat.py
+++ b/monsoonflow/node/heartbeat.py
@@ -92,7 +92,7 @@
                     slots=runner.limits.slots,
                     max_batch=runner.limits.max_batch,
                     resident=map(short_hash, runner.slot_by_adapter),
-                    takes_new_work=owned.takes_new_work and not owned.handing_over,
+                    takes_new_work=owned.takes_new_work and not owned.is_handing_over,
                     ready=runner.ready,
                     stall_total_ms=runner.stall.total_ms(now_ms),
                     stall_weight=runner.stall.weight(now_ms),
--- a/monsoonflow/node/lease_loop.py
+++ b/monsoonflow/node/lease_loop.py
@@ -164,7 +164,7 @@
         context = self._context
         _LOGGER.warning("%s", pairs(event="lease_lapsed", incarnation=context.me.incarnation))
         for runner_id in list(context.core.owned_by_runner):
-            context.core.release(runner_id)
+            context.core.release_runner(runner_id)
         context.begin_life()
         self.row_version = 0
         self._named = set()
@@ -205,7 +205,7 @@
             row = context.owners.get(runner_id)
             taken = row is not None and row[0].fence > owned.fence
             if taken or runner_id not in context.config.runner_by_id:
-                context.core.release(runner_id)
+                context.core.release_runner(runner_id)
 
     def _claim(self, leases: list[LeaseRow], read_ms: int) -> None:
         context = self._context
--- a/monsoonflow/node/load_gate.py
+++ b/monsoonflow/node/load_gate.py
@@ -38,7 +38,7 @@
     def run(self) -> None:
         """Ask while there is something to load, until the process ends."""
         while True:
-            busy = self._context.core.queued() or self._granted_by is not None
+            busy = self._context.core.queued_count() or self._granted_by is not None
             self._dispatcher.load_wanted.wait(ASK_EVERY_MS if busy else IDLE_MS)
             self._dispatcher.load_wanted.clear()
             self.step()
@@ -50,11 +50,11 @@
         context, core = self._context, self._context.core
         self._set_share()
         now_ms = context.now_ms()
-        core.granted_by_fleet = now_ms >= self._fallback_until_ms
-        if core.loads_under_way():
+        core.needs_fleet_grant = now_ms >= self._fallback_until_ms
+        if core.loads_in_progress():
             self._hold(now_ms)
             return
-        if not core.granted_by_fleet:
+        if not core.needs_fleet_grant:
             return
         self._give_back()
         candidates = core.load_candidates(now_ms)
--- a/monsoonflow/node/router.py
+++ b/monsoonflow/node/router.py
@@ -47,7 +47,7 @@
     entry = context.config.runner_by_id[runner_id]
     owned = context.core.owned_by_runner.get(runner_id)
     if owned is not None:
-        takes = owned.takes_new_work and not entry.draining and not owned.handing_over
+        takes = owned.takes_new_work and not entry.draining and not owned.is_handing_over
         return build_runner_view(owned.runner, entry.base_model, context.now_ms(), takes)
     remote = context.remote_by_runner.get(runner_id)
     peer = _owner_peer(context, runner_id)
--- a/monsoonflow/node/served.py
+++ b/monsoonflow/node/served.py
@@ -11,7 +11,7 @@
 from ..membership.view import Peer
 from ..request.const import State
 from ..request.life import RequestLife
-from ..serving.models import Active, SendRun
+from ..serving.models import ActiveRequest, SendRun
 
 
 class Signal:
@@ -61,7 +61,7 @@
         self.readers = 0
         self.last_read_ms = created_ms
         self.signal = Signal(tasks)
-        self.active = Active(life, self.signal.notify)
+        self.active = ActiveRequest(life, self.signal.notify)
         self.send: SendRun | None = None
         self.home_peer: Peer | None = None
         self.keyed_headers: dict[str, str] = {}
--- a/monsoonflow/node/stop.py
+++ b/monsoonflow/node/stop.py
@@ -87,7 +87,7 @@
         version = self._current_version(runner_id, owned.fence)
         if successor is None or version is None:
             return
-        owned.handing_over = True
+        owned.is_handing_over = True
         self._await_orders(runner_id)
         peer = peers[successor]
         row = OwnerRow(runner_id, successor, peer.row.incarnation, owned.fence + 1)
@@ -97,16 +97,16 @@
         result = context.table.commit(transaction)
         if not isinstance(result, Committed):
             _LOGGER.warning("%s", pairs(event="hand_over_failed", runner=runner_id))
-            owned.handing_over = False
+            owned.is_handing_over = False
             return
         context.take_owner(row, result.version)
         request = pb.HandOverRequest(
             from_incarnation=context.me.incarnation, runner_id=runner_id, fence=row.fence
         )
-        for run_id, adapter in owned.runner.adapter_by_running.items():
+        for run_id, adapter in owned.runner.adapter_by_run_id.items():
             request.runs.append(pb.Run(run_id=run_id, adapter=str(adapter)))
         accepted = self._client.hand_over(peer.row.rpc, request)
-        context.core.release(runner_id)
+        context.core.release_runner(runner_id)
         _LOGGER.info(
             "%s",
             pairs(
--- a/monsoonflow/node/takeover.py
+++ b/monsoonflow/node/takeover.py
@@ -11,7 +11,7 @@
 from ..ownership.takeover_guard import TakeoverGuard
 from ..runner.aggregate import Runner
 from ..runner.models import RunnerLimits
-from ..serving.models import Owned
+from ..serving.models import OwnedRunner
 from .context import NodeContext
 from .dispatcher import Dispatcher
 
@@ -112,15 +112,15 @@
         until_ms = 0
         if claimed_ms is not None:
             until_ms = claimed_ms + context.timing.claim_after_ms + context.settings["silence-ms"]
-        owned = Owned(
+        owned = OwnedRunner(
             runner,
             entry.base_model,
             row.fence,
             TakeoverGuard(entry.checks_fencing, until_ms, is_fenced=True),
-            foreign_runs=set(runner.adapter_by_running),
-            taken_ms=now_ms,
+            foreign_runs=set(runner.adapter_by_run_id),
+            owned_since_ms=now_ms,
         )
-        context.core.take(owned)
+        context.core.add_runner(owned)
         _LOGGER.info(
             "%s",
             pairs(
--- a/monsoonflow/runner/const.py
+++ b/monsoonflow/runner/const.py
@@ -5,8 +5,8 @@
 from enum import StrEnum
 from typing import Final
 
-HEAT_HALF_LIFE_MS: Final = 60_000
-MAX_HEAT_ENTRIES: Final = 1_024
+USAGE_HALF_LIFE_MS: Final = 60_000
+MAX_USAGE_SCORES: Final = 1_024
 LOAD_BACKOFF_START_MS: Final = 500
 LOAD_BACKOFF_MAX_MS: Final = 15_000
 MAX_LOAD_FAILURES: Final = 4
--- a/monsoonflow/runner/models.py
+++ b/monsoonflow/runner/models.py
@@ -10,7 +10,7 @@
 import attrs
 
 from ..core.adapter import AdapterRef
-from .const import HEAT_HALF_LIFE_MS, STALL_HALF_LIFE_MS, SlotState
+from .const import STALL_HALF_LIFE_MS, USAGE_HALF_LIFE_MS, SlotState
 
 
 @attrs.frozen(slots=True)
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(slots=True)
-class Weights:
+class LoadWeights:
     """Balances load stalls against batch efficiency.
 
     :param stall: what a second of waiting counts.
@@ -37,12 +37,12 @@
 
     stall: float = 1.0
     batch: float = 1.0
-    wait_bound_ms: int = 10_000
+    max_wait_ms: int = 10_000
     close_after_ms: int = 1_500
 
 
 @attrs.frozen(slots=True)
-class Waiting:
+class WaitingRequest:
     """A request that waits at a runner.
 
     :param weight: the customer's share when customers compete.
@@ -59,47 +59,47 @@
 
 
 @attrs.define(slots=True)
-class Heat:
+class UsageScore:
     """Measures how often something is asked for, decaying over time."""
 
-    value: float = 0.0
-    at_ms: int = 0
+    score: float = 0.0
+    updated_ms: int = 0
 
-    def now(self, now_ms: int) -> float:
+    def score_at(self, now_ms: int) -> float:
         """Return the decayed value."""
-        return self.value * math.exp2((self.at_ms - now_ms) / HEAT_HALF_LIFE_MS)
+        return self.score * math.exp2((self.updated_ms - now_ms) / USAGE_HALF_LIFE_MS)
 
-    def add(self, now_ms: int) -> None:
+    def record_use(self, now_ms: int) -> None:
         """Count one use."""
-        self.value = self.now(now_ms) + 1.0
-        self.at_ms = now_ms
+        self.score = self.score_at(now_ms) + 1.0
+        self.updated_ms = now_ms
 
 
 @attrs.define(slots=True)
-class Stalls:
+class LoadStalls:
     """Sums how long requests waited for their adapter and counts them; both fade over time."""
 
     sum_ms: float = 0.0
     count: float = 0.0
-    at_ms: int = 0
+    updated_ms: int = 0
 
-    def add(self, stall_ms: int, now_ms: int) -> None:
+    def record(self, stall_ms: int, now_ms: int) -> None:
         """Count one request."""
-        fade = self._fade(now_ms)
+        fade = self._decay_factor(now_ms)
         self.sum_ms = self.sum_ms * fade + stall_ms
         self.count = self.count * fade + 1.0
-        self.at_ms = now_ms
+        self.updated_ms = now_ms
 
     def total_ms(self, now_ms: int) -> float:
         """Return the faded sum."""
-        return self.sum_ms * self._fade(now_ms)
+        return self.sum_ms * self._decay_factor(now_ms)
 
     def weight(self, now_ms: int) -> float:
         """Return the faded count."""
-        return self.count * self._fade(now_ms)
+        return self.count * self._decay_factor(now_ms)
 
-    def _fade(self, now_ms: int) -> float:
-        return math.exp2((self.at_ms - now_ms) / STALL_HALF_LIFE_MS)
+    def _decay_factor(self, now_ms: int) -> float:
+        return math.exp2((self.updated_ms - now_ms) / STALL_HALF_LIFE_MS)
 
 
 @attrs.define(slots=True)
@@ -115,52 +115,52 @@
     pins: set[str] = attrs.field(factory=set)
     last_used_ms: int = 0
     resident_since_ms: int = 0
-    successor: AdapterRef | None = None
+    next_adapter: AdapterRef | None = None
 
 
 @attrs.define(slots=True)
 class AdapterQueue:
     """The requests that wait for one adapter, by class; sums make scoring cheap."""
 
-    by_priority: dict[int, deque[Waiting]] = attrs.field(factory=dict)
+    queue_by_priority: dict[int, deque[WaitingRequest]] = attrs.field(factory=dict)
     count: int = 0
     background_count: int = 0
     enqueued_sum_ms: int = 0
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingRequest) -> None:
         """Append a request."""
-        self.by_priority.setdefault(waiting.priority, deque()).append(waiting)
+        self.queue_by_priority.setdefault(waiting.priority, deque()).append(waiting)
         self.count += 1
         self.background_count += waiting.background
         self.enqueued_sum_ms += waiting.enqueued_ms
 
-    def head(self) -> Waiting | None:
+    def head(self) -> WaitingRequest | None:
         """Return the request to serve next: the most urgent class, then the oldest."""
-        for priority in sorted(self.by_priority):
-            if self.by_priority[priority]:
-                return self.by_priority[priority][0]
+        for priority in sorted(self.queue_by_priority):
+            if self.queue_by_priority[priority]:
+                return self.queue_by_priority[priority][0]
         return None
 
-    def remove(self, waiting: Waiting) -> None:
+    def remove(self, waiting: WaitingRequest) -> None:
         """Take a request out."""
-        self.by_priority[waiting.priority].remove(waiting)
-        if not self.by_priority[waiting.priority]:
-            del self.by_priority[waiting.priority]
+        self.queue_by_priority[waiting.priority].remove(waiting)
+        if not self.queue_by_priority[waiting.priority]:
+            del self.queue_by_priority[waiting.priority]
         self.count -= 1
         self.background_count -= waiting.background
         self.enqueued_sum_ms -= waiting.enqueued_ms
 
-    def oldest_ms(self) -> int:
+    def oldest_enqueued_ms(self) -> int:
         """Return when the longest waiter came."""
-        return min(queue[0].enqueued_ms for queue in self.by_priority.values())
+        return min(queue[0].enqueued_ms for queue in self.queue_by_priority.values())
 
     def total_wait_ms(self, now_ms: int) -> int:
         """Return the sum of all waiting times."""
         return self.count * now_ms - self.enqueued_sum_ms
 
-    def all(self) -> list[Waiting]:
+    def waiting_requests(self) -> list[WaitingRequest]:
         """Return every waiter."""
-        return [waiting for queue in self.by_priority.values() for waiting in queue]
+        return [waiting for queue in self.queue_by_priority.values() for waiting in queue]
 
 
 @dataclass(frozen=True, slots=True)
@@ -200,7 +200,7 @@
     adapter: AdapterRef
     score: float
     overdue: bool
-    waiting: int
+    waiting_count: int
     background: bool = False
 
     def urgency(self) -> tuple[bool, float, str, AdapterRef]:
--- a/monsoonflow/serving/core.py
+++ b/monsoonflow/serving/core.py
@@ -16,11 +16,20 @@
 from ..request.models import End, NextStep, Resume, Retry
 from ..routing.limits import Admission, Refusal
 from ..runner.const import Permission
-from ..runner.models import Dispatch, Load, LoadCandidate, Order, Unload, Waiting
-from .models import Active, Command, NotOwner, Owned, SendCancel, SendLoad, SendRun, SendUnload
-
-EXPIRY_EVERY_MS: Final = 50
-EXPIRED_RETRY_MS: Final = 1_000
+from ..runner.models import Dispatch, Load, LoadCandidate, Order, Unload, WaitingRequest
+from .models import (
+    ActiveRequest,
+    Command,
+    NotOwner,
+    OwnedRunner,
+    SendCancel,
+    SendLoad,
+    SendRun,
+    SendUnload,
+)
+
+EXPIRY_CHECK_INTERVAL_MS: Final = 50
+EXPIRED_RETRY_AFTER_MS: Final = 1_000
 
 
 class ServingCore:
@@ -33,11 +42,11 @@
         self.admission = admission
         self.share = share
         self.journal = journal
-        self.owned_by_runner: dict[str, Owned] = {}
-        self.active_by_id: dict[str, Active] = {}
-        self.granted_by_fleet = False
-        self._cancels: dict[str, SendCancel] = {}
-        self._orders: list[Command] = []
+        self.owned_by_runner: dict[str, OwnedRunner] = {}
+        self.active_by_id: dict[str, ActiveRequest] = {}
+        self.needs_fleet_grant = False
+        self._cancel_by_run_id: dict[str, SendCancel] = {}
+        self._pending_commands: list[Command] = []
         self._next_expiry_ms = 0
 
     # Ownership
@@ -54,7 +63,7 @@
             cause = "engine restarted" if before != boot_id else "lost answers"
             self.journal.record(runner_id, "slots corrected", cause=cause, resident=len(resident))
 
-    def take(self, owned: Owned) -> None:
+    def add_runner(self, owned: OwnedRunner) -> None:
         """Begin to own a runner whose engine has been fenced and read."""
         runner_id = owned.runner.runner_id
         known = self.owned_by_runner.get(runner_id)
@@ -62,7 +71,7 @@
         self.owned_by_runner[runner_id] = owned
         self.journal.record(runner_id, "owned by this node", fence=owned.fence)
 
-    def release(self, runner_id: str) -> list[Active]:
+    def release_runner(self, runner_id: str) -> list[ActiveRequest]:
         """Stop owning a runner.
 
         :returns: the requests that waited there; nothing of them was offered.
@@ -73,15 +82,15 @@
         self.journal.record(runner_id, "no longer owned by this node", fence=owned.fence)
         return self._unplace_waiting(owned)
 
-    def move_waiting(self, runner_id: str) -> list[Active]:
+    def reassign_waiting(self, runner_id: str) -> list[ActiveRequest]:
         """Send every request that waits at a runner to be placed again."""
         owned = self.owned_by_runner.get(runner_id)
         return self._unplace_waiting(owned) if owned is not None else []
 
-    def _unplace_waiting(self, owned: Owned) -> list[Active]:
+    def _unplace_waiting(self, owned: OwnedRunner) -> list[ActiveRequest]:
         moved = []
-        for waiting in owned.runner.drop_queue():
-            active = self._active_of_run(waiting.request_id)
+        for waiting in owned.runner.drop_queues():
+            active = self._find_active(waiting.request_id)
             if active is not None:
                 self._unplace(active)
                 moved.append(active)
@@ -96,24 +105,26 @@
         owned = self.owned_by_runner.get(runner_id)
         if owned is None or owned.fence != fence:
             return False
-        return self.lease.is_held(now_ms) and not owned.handing_over
+        return self.lease.is_held(now_ms) and not owned.is_handing_over
 
-    def permission(self, owned: Owned, now_ms: int) -> Permission:
+    def permission(self, owned: OwnedRunner, now_ms: int) -> Permission:
         """Return what may be ordered of a runner now."""
-        if owned.handing_over or not self.lease.is_held(now_ms):
+        if owned.is_handing_over or not self.lease.is_held(now_ms):
             return Permission.NOTHING
-        return owned.quarantine.permission(now_ms)
+        return owned.takeover_guard.permission(now_ms)
 
     # Requests
 
-    def submit(self, active: Active, runner_id: str, now_ms: int) -> Refusal | NotOwner | None:
+    def submit(
+        self, active: ActiveRequest, runner_id: str, now_ms: int
+    ) -> Refusal | NotOwner | None:
         """Let a request wait at a runner of this node.
 
         :returns: why it may not, or ``None``.
         """
         owned = self.owned_by_runner.get(runner_id)
         terms = active.life.terms
-        if owned is None or owned.handing_over or not self.lease.is_held(now_ms):
+        if owned is None or owned.is_handing_over or not self.lease.is_held(now_ms):
             return NotOwner()
         time_left_ms = terms.deadline_ms - now_ms
         refusal = self.admission.check(
@@ -123,12 +134,12 @@
             return refusal
         active.runner_id = runner_id
         active.run_id = f"{terms.request_id}.{active.life.attempt + 1}"
-        active.waiting = True
+        active.is_waiting = True
         active.enqueued_ms = now_ms
-        active.stalled = terms.adapter not in owned.runner.resident()
+        active.needs_adapter_load = terms.adapter not in owned.runner.resident()
         self.active_by_id[terms.request_id] = active
         owned.runner.enqueue(
-            Waiting(
+            WaitingRequest(
                 active.run_id,
                 terms.adapter,
                 terms.customer,
@@ -143,7 +154,7 @@
             "waits",
             runner=runner_id,
             queued=owned.runner.queued,
-            adapter_resident=not active.stalled,
+            adapter_resident=not active.needs_adapter_load,
         )
         return None
 
@@ -155,13 +166,15 @@
         owned = self.owned_by_runner.get(active.runner_id)
         if owned is None:
             return
-        if active.waiting:
+        if active.is_waiting:
             owned.runner.withdraw(active.run_id)
-            active.waiting = False
-        elif active.run_id in owned.runner.adapter_by_running:
+            active.is_waiting = False
+        elif active.run_id in owned.runner.adapter_by_run_id:
             self._cancel(active.runner_id, owned.fence, active.run_id)
 
-    def step(self, request_id: str, step: NextStep, run_over: bool, now_ms: int) -> NextStep:
+    def apply_step(
+        self, request_id: str, step: NextStep, has_run_ended: bool, now_ms: int
+    ) -> NextStep:
         """Settle the place of a request after its life took an event.
 
         A run that was lost may still be going on at the engine: its pin stays until the engine
@@ -176,10 +189,10 @@
             case Resume(from_index=index):
                 self.journal.record(request_id, "resumes", from_chunk=index)
             case Retry(attempt=attempt):
-                self._leave_runner(active, now_ms, run_over)
+                self._leave_runner(active, now_ms, has_run_ended)
                 self.journal.record(request_id, "tried again", attempt=attempt)
             case End():
-                self._leave_runner(active, now_ms, run_over)
+                self._leave_runner(active, now_ms, has_run_ended)
         return step
 
     def forget(self, request_id: str) -> None:
@@ -188,70 +201,72 @@
 
     # Events of engines
 
-    def run_over(self, runner_id: str, run_id: str, now_ms: int) -> None:
+    def handle_run_end(self, runner_id: str, run_id: str, now_ms: int) -> None:
         """Take the engine's word that a run is over."""
-        self._cancels.pop(run_id, None)
+        self._cancel_by_run_id.pop(run_id, None)
         owned = self.owned_by_runner.get(runner_id)
         if owned is None:
             return
         owned.foreign_runs.discard(run_id)
-        self._collect(owned, owned.runner.ended(run_id, now_ms))
-        owned.runner.check()
+        self._queue_orders(owned, owned.runner.handle_run_end(run_id, now_ms))
+        owned.runner.check_invariants()
 
-    def loaded(self, runner_id: str, adapter: AdapterRef, now_ms: int) -> None:
+    def handle_loaded(self, runner_id: str, adapter: AdapterRef, now_ms: int) -> None:
         """Take the end of a load."""
         owned = self.owned_by_runner.get(runner_id)
         if owned is not None:
-            owned.runner.loaded(adapter, now_ms)
+            owned.runner.handle_loaded(adapter, now_ms)
             self.journal.record(runner_id, "adapter loaded", adapter=adapter)
 
-    def load_failed(self, runner_id: str, adapter: AdapterRef, reason: str, now_ms: int) -> None:
+    def handle_load_failure(
+        self, runner_id: str, adapter: AdapterRef, reason: str, now_ms: int
+    ) -> None:
         """Take the failure of a load; after several, those who wait for it are refused."""
         owned = self.owned_by_runner.get(runner_id)
         if owned is None:
             return
         self.journal.record(runner_id, "load failed", adapter=adapter, cause=reason)
-        for waiting in owned.runner.load_failed(adapter, now_ms):
-            active = self._active_of_run(waiting.request_id)
+        for waiting in owned.runner.handle_load_failure(adapter, now_ms):
+            active = self._find_active(waiting.request_id)
             if active is not None:
                 self._unplace(active)
                 active.life.give_up(f"adapter {adapter} can't be loaded: {reason}", 5_000)
-                active.changed()
+                active.on_change()
 
-    def unloaded(self, runner_id: str, adapter: AdapterRef) -> None:
+    def handle_unloaded(self, runner_id: str, adapter: AdapterRef) -> None:
         """Take the end of an unload."""
         owned = self.owned_by_runner.get(runner_id)
         if owned is not None:
-            self._collect(owned, owned.runner.unloaded(adapter))
+            self._queue_orders(owned, owned.runner.handle_unloaded(adapter))
             self.journal.record(runner_id, "adapter unloaded", adapter=adapter)
 
     # Decisions
 
     def poll(self, now_ms: int) -> list[Command]:
         """Return everything to send now."""
-        self._expire(now_ms)
+        self._expire_requests(now_ms)
         commands: list[Command] = []
         for runner_id, owned in self.owned_by_runner.items():
             permission = self.permission(owned, now_ms)
-            for dispatch in owned.runner.dispatches(now_ms, permission):
+            for dispatch in owned.runner.dispatch_ready(now_ms, permission):
                 commands.append(self._dispatch(runner_id, owned, dispatch, now_ms))
-            owned.runner.check()
-        if not self.granted_by_fleet:
-            under_way = self.loads_under_way()
+            owned.runner.check_invariants()
+        if not self.needs_fleet_grant:
+            under_way = self.loads_in_progress()
             chosen = self.share.pick(self.load_candidates(now_ms), under_way, now_ms)
             if chosen is not None:
                 self.start_load(chosen, now_ms)
-        commands += self._orders
-        self._orders = []
+        commands += self._pending_commands
+        self._pending_commands = []
         return commands
 
-    def queued(self) -> int:
+    def queued_count(self) -> int:
         """Return how many requests wait at the runners of this node."""
         return sum(owned.runner.queued for owned in self.owned_by_runner.values())
 
-    def loads_under_way(self) -> int:
+    def loads_in_progress(self) -> int:
         """Return how many loads are going on at the runners of this node."""
-        return sum(owned.runner.loads_under_way() for owned in self.owned_by_runner.values())
+        return sum(owned.runner.loads_in_progress() for owned in self.owned_by_runner.values())
 
     def load_candidates(self, now_ms: int) -> list[LoadCandidate]:
         """Return each owned runner's most helpful loads."""
@@ -278,23 +293,25 @@
             chosen.runner_id,
             "load decided",
             adapter=chosen.adapter,
-            waiting=chosen.waiting,
+            waiting=chosen.waiting_count,
             score=round(chosen.score, 2),
         )
-        self._collect(owned, orders)
+        self._queue_orders(owned, orders)
         return True
 
-    def cancels(self) -> list[SendCancel]:
+    def pending_cancels(self) -> list[SendCancel]:
         """Return the runs that are to be stopped and are not yet confirmed."""
-        return list(self._cancels.values())
+        return list(self._cancel_by_run_id.values())
 
-    def _dispatch(self, runner_id: str, owned: Owned, order: Dispatch, now_ms: int) -> SendRun:
-        active = self._active_of_run(order.request_id)
+    def _dispatch(
+        self, runner_id: str, owned: OwnedRunner, order: Dispatch, now_ms: int
+    ) -> SendRun:
+        active = self._find_active(order.request_id)
         require(active is not None, "a waiting request is known")
         assert active is not None
         attempt = active.life.offer()
         require(active.run_id == f"{active.life.terms.request_id}.{attempt}", "run ids match")
-        active.waiting = False
+        active.is_waiting = False
         active.dispatched_ms = now_ms
         self.journal.record(
             active.life.terms.request_id,
@@ -305,38 +322,38 @@
         )
         return SendRun(runner_id, owned.fence, active.life.terms.request_id, active.run_id)
 
-    def _collect(self, owned: Owned, orders: list[Order]) -> None:
+    def _queue_orders(self, owned: OwnedRunner, orders: list[Order]) -> None:
         runner_id = owned.runner.runner_id
         for order in orders:
             match order:
                 case Load(adapter=adapter):
-                    self._orders.append(SendLoad(runner_id, owned.fence, adapter))
+                    self._pending_commands.append(SendLoad(runner_id, owned.fence, adapter))
                 case Unload(adapter=adapter):
-                    self._orders.append(SendUnload(runner_id, owned.fence, adapter))
+                    self._pending_commands.append(SendUnload(runner_id, owned.fence, adapter))
                 case Dispatch():
                     require(False, "requests are dispatched by poll only")
 
-    def _expire(self, now_ms: int) -> None:
+    def _expire_requests(self, now_ms: int) -> None:
         if now_ms < self._next_expiry_ms:
             return
-        self._next_expiry_ms = now_ms + EXPIRY_EVERY_MS
+        self._next_expiry_ms = now_ms + EXPIRY_CHECK_INTERVAL_MS
         for active in list(self.active_by_id.values()):
             if active.life.ended:
                 continue
             left_ms = active.life.terms.deadline_ms - now_ms
             if left_ms <= 0:
-                self._give_up(active, "the deadline has passed", None)
-            elif active.waiting and left_ms < self.admission.mean_run_ms(active.runner_id or ""):
+                self._time_out(active, "the deadline has passed", None)
+            elif active.is_waiting and left_ms < self.admission.mean_run_ms(active.runner_id or ""):
                 # Sent now, it would be cut off by its deadline in the middle of its answer, after
                 # taking a place from one that can still be served whole.
-                self._give_up(active, "too little time is left", EXPIRED_RETRY_MS)
+                self._time_out(active, "too little time is left", EXPIRED_RETRY_AFTER_MS)
 
-    def _give_up(self, active: Active, reason: str, retry_after_ms: int | None) -> None:
+    def _time_out(self, active: ActiveRequest, reason: str, retry_after_ms: int | None) -> None:
         self.withdraw(active.life.terms.request_id)
         active.life.give_up(reason, retry_after_ms, status=504)
-        active.changed()
+        active.on_change()
 
-    def _leave_runner(self, active: Active, now_ms: int, run_over: bool) -> None:
+    def _leave_runner(self, active: ActiveRequest, now_ms: int, has_run_ended: bool) -> None:
         runner_id, run_id = active.runner_id, active.run_id
         if runner_id is None:
             return
@@ -348,21 +365,21 @@
         owned = self.owned_by_runner.get(runner_id)
         if owned is None:
             return
-        if run_id not in owned.runner.adapter_by_running:
+        if run_id not in owned.runner.adapter_by_run_id:
             return
-        if run_over:
-            self.run_over(runner_id, run_id, now_ms)
+        if has_run_ended:
+            self.handle_run_end(runner_id, run_id, now_ms)
         else:
             self._cancel(runner_id, owned.fence, run_id)
 
     def _cancel(self, runner_id: str, fence: int, run_id: str) -> None:
-        self._cancels[run_id] = SendCancel(runner_id, fence, run_id)
+        self._cancel_by_run_id[run_id] = SendCancel(runner_id, fence, run_id)
 
-    def _unplace(self, active: Active) -> None:
+    def _unplace(self, active: ActiveRequest) -> None:
         active.runner_id = None
-        active.waiting = False
-        active.changed()
+        active.is_waiting = False
+        active.on_change()
 
-    def _active_of_run(self, run_id: str) -> Active | None:
+    def _find_active(self, run_id: str) -> ActiveRequest | None:
         active = self.active_by_id.get(run_id.rpartition(".")[0])
         return active if active is not None and active.run_id == run_id else None
--- a/monsoonflow/serving/models.py
+++ b/monsoonflow/serving/models.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(slots=True)
-class Owned:
+class OwnedRunner:
     """A runner that this node owns.
 
     :param foreign_runs: runs that an earlier owner sent; their pins end with the engine's word.
@@ -25,15 +25,15 @@
     runner: Runner
     base_model: str
     fence: int
-    quarantine: TakeoverGuard
+    takeover_guard: TakeoverGuard
     foreign_runs: set[str] = attrs.field(factory=set)
-    taken_ms: int = 0
-    handing_over: bool = False
+    owned_since_ms: int = 0
+    is_handing_over: bool = False
     takes_new_work: bool = True
 
 
 @attrs.define(slots=True)
-class Active:
+class ActiveRequest:
     """A request that this node drives.
 
     :param runner_id: where it waits or runs; ``None`` while it has no place.
@@ -42,13 +42,13 @@
     """
 
     life: RequestLife
-    changed: Callable[[], None]
+    on_change: Callable[[], None]
     runner_id: str | None = None
     run_id: str = ""
-    waiting: bool = False
+    is_waiting: bool = False
     enqueued_ms: int = 0
     dispatched_ms: int = 0
-    stalled: bool = False
+    needs_adapter_load: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/randomised/without.py
+++ b/tests/randomised/without.py
@@ -50,8 +50,10 @@
 def pins() -> None:
     """Evict adapters whether or not requests use them."""
     _no_invariants()
-    replace(aggregate.Runner, "_may_go", lambda _self, slot: slot.state is not SlotState.UNLOADING)
-    replace(aggregate.Runner, "check", lambda _self: None)
+    replace(
+        aggregate.Runner, "_is_evictable", lambda _self, slot: slot.state is not SlotState.UNLOADING
+    )
+    replace(aggregate.Runner, "check_invariants", lambda _self: None)
 
 
 def lease() -> None:
@@ -88,7 +90,7 @@
 
     def end(self: Any, owned: Any, state: Any, asked_ms: int) -> None:
         for run_id in sorted(owned.foreign_runs - set(state.running)):
-            self._context.core.run_over(owned.runner.runner_id, run_id, asked_ms)
+            self._context.core.handle_run_end(owned.runner.runner_id, run_id, asked_ms)
 
     replace(HealthLoop, "_end_foreign_runs", end)
 
