--- a/monsoonflow/serving/__init__.py
+++ b/monsoonflow/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Composes requests, runners and ownership into one node's pure decision core."""
+"""Decides what a node sends to its runners, from its requests, runners and ownership."""
--- a/monsoonflow/serving/core.py
+++ b/monsoonflow/serving/core.py
@@ -1,6 +1,6 @@
-"""The pure core of a node: events in, commands out; no sockets and no clock of its own.
+"""A node's decision logic: it handles events and returns commands, without sockets or a clock.
 
-The daemon and the randomised runs drive the same code.
+The daemon and the randomised tests run the same code.
 """
 
 from __future__ import annotations
@@ -33,7 +33,12 @@
 
 
 class ServingCore:
-    """Decides what one node sends to the runners that it owns."""
+    """Decides what one node sends to the runners that it owns.
+
+    :param lease: this node's own lease; nothing is sent while it is not held.
+    :param share: limits how fast this node starts loads while no peer grants them.
+    :param journal: keeps what was decided and why, for the ``explain`` command.
+    """
 
     def __init__(
         self, lease: HeldLease, admission: Admission, share: StoreShare, journal: Journal
@@ -54,27 +59,31 @@
     def reconcile(
         self, runner_id: str, fence: int, boot_id: str, resident: set[AdapterRef]
     ) -> None:
-        """Take what an engine holds, as it said while no order to it was under way."""
+        """Correct a runner's slots by its engine's report.
+
+        :param resident: the adapters in the report, which was made while no order to the engine was
+            in progress.
+        """
         owned = self.owned_by_runner.get(runner_id)
         if owned is None or owned.fence != fence:
             return
-        before = owned.runner.boot_id
+        previous_boot_id = owned.runner.boot_id
         if owned.runner.reconcile(boot_id, resident):
-            cause = "engine restarted" if before != boot_id else "lost answers"
+            cause = "engine restarted" if previous_boot_id != boot_id else "lost answers"
             self.journal.record(runner_id, "slots corrected", cause=cause, resident=len(resident))
 
     def add_runner(self, owned: OwnedRunner) -> None:
-        """Begin to own a runner whose engine has been fenced and read."""
+        """Add a runner that this node now owns; its engine is already fenced and its state read."""
         runner_id = owned.runner.runner_id
-        known = self.owned_by_runner.get(runner_id)
-        require(known is None or known.fence < owned.fence, "fencing numbers rise")
+        previous = self.owned_by_runner.get(runner_id)
+        require(previous is None or previous.fence < owned.fence, "fencing numbers only increase")
         self.owned_by_runner[runner_id] = owned
         self.journal.record(runner_id, "owned by this node", fence=owned.fence)
 
     def release_runner(self, runner_id: str) -> list[ActiveRequest]:
         """Stop owning a runner.
 
-        :returns: the requests that waited there; nothing of them was offered.
+        :returns: the requests that waited there; none of them was sent to the engine.
         """
         owned = self.owned_by_runner.pop(runner_id, None)
         if owned is None:
@@ -83,7 +92,7 @@
         return self._unplace_waiting(owned)
 
     def reassign_waiting(self, runner_id: str) -> list[ActiveRequest]:
-        """Send every request that waits at a runner to be placed again."""
+        """Remove every waiting request from a runner, so that each is placed again."""
         owned = self.owned_by_runner.get(runner_id)
         return self._unplace_waiting(owned) if owned is not None else []
 
@@ -97,10 +106,10 @@
         return moved
 
     def may_send(self, runner_id: str, fence: int, now_ms: int) -> bool:
-        """Tell whether an order may leave now; asked in the last statement before each send.
+        """Tell whether an order may be sent now; called immediately before each send.
 
-        The lease may have lapsed since the decision, while the process was paused. Deciding once
-        per loop would let the rest of the loop's orders out under another owner.
+        The lease may have expired since the decision, while the process was suspended. One check
+        per loop would let the rest of the loop's orders be sent while another node owns the runner.
         """
         owned = self.owned_by_runner.get(runner_id)
         if owned is None or owned.fence != fence:
@@ -108,7 +117,7 @@
         return self.lease.is_held(now_ms) and not owned.is_handing_over
 
     def permission(self, owned: OwnedRunner, now_ms: int) -> Permission:
-        """Return what may be ordered of a runner now."""
+        """Return which orders may be sent to a runner now."""
         if owned.is_handing_over or not self.lease.is_held(now_ms):
             return Permission.NOTHING
         return owned.takeover_guard.permission(now_ms)
@@ -118,9 +127,9 @@
     def submit(
         self, active: ActiveRequest, runner_id: str, now_ms: int
     ) -> Refusal | NotOwner | None:
-        """Let a request wait at a runner of this node.
+        """Add a request to the queue of a runner of this node.
 
-        :returns: why it may not, or ``None``.
+        :returns: why it was not added, or ``None``.
         """
         owned = self.owned_by_runner.get(runner_id)
         terms = active.life.terms
@@ -159,7 +168,7 @@
         return None
 
     def withdraw(self, request_id: str) -> None:
-        """Take a request that the caller gave up on out of its queue, or cancel its run."""
+        """Remove an abandoned request from its queue, or cancel its run."""
         active = self.active_by_id.get(request_id)
         if active is None or active.runner_id is None:
             return
@@ -175,12 +184,13 @@
     def apply_step(
         self, request_id: str, step: NextStep, has_run_ended: bool, now_ms: int
     ) -> NextStep:
-        """Settle the place of a request after its life took an event.
+        """Update a request's place at its runner for the next step that was decided.
 
-        A run that was lost may still be going on at the engine: its pin stays until the engine
-        confirms the cancel, or the adapter could be evicted under it.
+        A run whose connection was lost may continue on the engine. Its adapter stays pinned until
+        the engine confirms the cancel; otherwise the adapter could be evicted during the run.
 
-        :param run_over: whether the engine itself said that nothing of the run goes on.
+        :param has_run_ended: whether the engine itself confirmed that the run no longer continues.
+        :returns: the step, unchanged.
         """
         active = self.active_by_id.get(request_id)
         if active is None:
@@ -190,19 +200,19 @@
                 self.journal.record(request_id, "resumes", from_chunk=index)
             case Retry(attempt=attempt):
                 self._leave_runner(active, now_ms, has_run_ended)
-                self.journal.record(request_id, "tried again", attempt=attempt)
+                self.journal.record(request_id, "retried", attempt=attempt)
             case End():
                 self._leave_runner(active, now_ms, has_run_ended)
         return step
 
     def forget(self, request_id: str) -> None:
-        """Drop a request that has ended and been answered."""
+        """Remove a request that has ended and been answered."""
         self.active_by_id.pop(request_id, None)
 
     # Events of engines
 
     def handle_run_end(self, runner_id: str, run_id: str, now_ms: int) -> None:
-        """Take the engine's word that a run is over."""
+        """Handle the engine's confirmation that a run has ended."""
         self._cancel_by_run_id.pop(run_id, None)
         owned = self.owned_by_runner.get(runner_id)
         if owned is None:
@@ -212,7 +222,7 @@
         owned.runner.check_invariants()
 
     def handle_loaded(self, runner_id: str, adapter: AdapterRef, now_ms: int) -> None:
-        """Take the end of a load."""
+        """Handle the completion of a load."""
         owned = self.owned_by_runner.get(runner_id)
         if owned is not None:
             owned.runner.handle_loaded(adapter, now_ms)
@@ -221,7 +231,7 @@
     def handle_load_failure(
         self, runner_id: str, adapter: AdapterRef, reason: str, now_ms: int
     ) -> None:
-        """Take the failure of a load; after several, those who wait for it are refused."""
+        """Handle a failed load; after repeated failures, refuse the requests that wait for it."""
         owned = self.owned_by_runner.get(runner_id)
         if owned is None:
             return
@@ -234,7 +244,7 @@
                 active.on_change()
 
     def handle_unloaded(self, runner_id: str, adapter: AdapterRef) -> None:
-        """Take the end of an unload."""
+        """Handle the completion of an unload."""
         owned = self.owned_by_runner.get(runner_id)
         if owned is not None:
             self._queue_orders(owned, owned.runner.handle_unloaded(adapter))
@@ -243,7 +253,7 @@
     # Decisions
 
     def poll(self, now_ms: int) -> list[Command]:
-        """Return everything to send now."""
+        """Return all commands to send now, after timing out requests past their deadline."""
         self._expire_requests(now_ms)
         commands: list[Command] = []
         for runner_id, owned in self.owned_by_runner.items():
@@ -252,8 +262,8 @@
                 commands.append(self._dispatch(runner_id, owned, dispatch, now_ms))
             owned.runner.check_invariants()
         if not self.needs_fleet_grant:
-            under_way = self.loads_in_progress()
-            chosen = self.share.pick(self.load_candidates(now_ms), under_way, now_ms)
+            in_progress = self.loads_in_progress()
+            chosen = self.share.pick(self.load_candidates(now_ms), in_progress, now_ms)
             if chosen is not None:
                 self.start_load(chosen, now_ms)
         commands += self._pending_commands
@@ -265,11 +275,11 @@
         return sum(owned.runner.queued for owned in self.owned_by_runner.values())
 
     def loads_in_progress(self) -> int:
-        """Return how many loads are going on at the runners of this node."""
+        """Return how many loads are in progress at the runners of this node."""
         return sum(owned.runner.loads_in_progress() for owned in self.owned_by_runner.values())
 
     def load_candidates(self, now_ms: int) -> list[LoadCandidate]:
-        """Return each owned runner's most helpful loads."""
+        """Return the most urgent loads of each owned runner."""
         return [
             candidate
             for owned in self.owned_by_runner.values()
@@ -277,9 +287,9 @@
         ]
 
     def start_load(self, chosen: LoadCandidate, now_ms: int) -> bool:
-        """Begin a load that the store's share or a grant allows.
+        """Start a load that this node's share of the load rate or a grant allows.
 
-        :returns: whether it began.
+        :returns: whether it started.
         """
         owned = self.owned_by_runner.get(chosen.runner_id)
         if owned is None:
@@ -291,7 +301,7 @@
         self.share.record_start(chosen, now_ms)
         self.journal.record(
             chosen.runner_id,
-            "load decided",
+            "load started",
             adapter=chosen.adapter,
             waiting=chosen.waiting_count,
             score=round(chosen.score, 2),
@@ -300,7 +310,7 @@
         return True
 
     def pending_cancels(self) -> list[SendCancel]:
-        """Return the runs that are to be stopped and are not yet confirmed."""
+        """Return the cancels that the engines have not yet confirmed."""
         return list(self._cancel_by_run_id.values())
 
     def _dispatch(
@@ -310,7 +320,10 @@
         require(active is not None, "a waiting request is known")
         assert active is not None
         attempt = active.life.offer()
-        require(active.run_id == f"{active.life.terms.request_id}.{attempt}", "run ids match")
+        require(
+            active.run_id == f"{active.life.terms.request_id}.{attempt}",
+            "the run id names the current attempt",
+        )
         active.is_waiting = False
         active.dispatched_ms = now_ms
         self.journal.record(
@@ -340,12 +353,14 @@
         for active in list(self.active_by_id.values()):
             if active.life.ended:
                 continue
-            left_ms = active.life.terms.deadline_ms - now_ms
-            if left_ms <= 0:
+            time_left_ms = active.life.terms.deadline_ms - now_ms
+            if time_left_ms <= 0:
                 self._time_out(active, "the deadline has passed", None)
-            elif active.is_waiting and left_ms < self.admission.mean_run_ms(active.runner_id or ""):
-                # Sent now, it would be cut off by its deadline in the middle of its answer, after
-                # taking a place from one that can still be served whole.
+            elif active.is_waiting and time_left_ms < self.admission.mean_run_ms(
+                active.runner_id or ""
+            ):
+                # If sent now, the deadline would cut its answer, and it would use capacity that
+                # another request could use to finish.
                 self._time_out(active, "too little time is left", EXPIRED_RETRY_AFTER_MS)
 
     def _time_out(self, active: ActiveRequest, reason: str, retry_after_ms: int | None) -> None:
--- a/monsoonflow/serving/models.py
+++ b/monsoonflow/serving/models.py
@@ -1,4 +1,4 @@
-"""Data that the serving core takes in and hands out."""
+"""Data types of the serving core: owned runners, active requests and commands."""
 
 from __future__ import annotations
 
@@ -18,8 +18,14 @@
 class OwnedRunner:
     """A runner that this node owns.
 
-    :param foreign_runs: runs that an earlier owner sent; their pins end with the engine's word.
-    :param handing_over: set while the runner moves to another node; nothing is ordered then.
+    :param fence: the fencing number that this node sends with every order.
+    :param takeover_guard: restricts orders while an earlier owner may still be active.
+    :param foreign_runs: runs that an earlier owner sent; each pins its adapter until the engine no
+        longer reports it.
+    :param owned_since_ms: when this node took the runner over.
+    :param is_handing_over: whether the runner is moving to another node; it gets no orders then.
+    :param takes_new_work: whether requests may be placed here; false while its engine is
+        leaving or gone.
     """
 
     runner: Runner
@@ -34,11 +40,12 @@
 
 @attrs.define(slots=True)
 class ActiveRequest:
-    """A request that this node drives.
+    """A request that this node handles.
 
-    :param runner_id: where it waits or runs; ``None`` while it has no place.
-    :param run_id: names the attempt that waits or runs.
-    :param changed: called whenever a waiting party should look again.
+    :param on_change: called on each change, so that whoever waits for one checks the request again.
+    :param runner_id: the runner where it waits or runs; ``None`` while it is not placed.
+    :param run_id: the id of the attempt that waits or runs.
+    :param needs_adapter_load: whether its adapter was not resident when it was queued.
     """
 
     life: RequestLife
@@ -53,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotOwner:
-    """Tells that this node may order nothing of the runner now; another place will do."""
+    """Tells that the node may not send orders to the runner now; the request is placed again."""
 
     reason: str = "this node no longer owns the runner"
 
 
 @dataclass(frozen=True, slots=True)
 class SendRun:
-    """Offer a request to a runner."""
+    """Send a request to a runner."""
 
     runner_id: str
     fence: int
