--- a/monsoonflow/runner/aggregate.py
+++ b/monsoonflow/runner/aggregate.py
@@ -30,13 +30,15 @@
 
 
 class Runner:
-    """Holds exact knowledge of one runner, kept by its owner only.
+    """Holds the exact state of one runner; only its owner has it.
 
-    Rules kept here:
+    Rules enforced here:
 
     * a request is dispatched only to a resident adapter, and pins it until it ends;
     * a pinned adapter is never unloaded;
-    * slots in use never exceed what the engine has.
+    * slots in use never exceed the engine's slots.
+
+    :param boot_id: the engine's current boot; another one in a report means that it restarted.
     """
 
     def __init__(
@@ -64,7 +66,7 @@
 
     @property
     def ready(self) -> int:
-        """Return how many requests wait for a place in the batch only, not for their adapter."""
+        """Return how many waiting requests have a resident adapter and wait only for the batch."""
         return sum(
             queue.count
             for adapter in self.resident()
@@ -77,14 +79,14 @@
         return len(self.adapter_by_run_id)
 
     def oldest_wait_ms(self, now_ms: int) -> int:
-        """Return how long the longest waiter has waited."""
+        """Return how long the oldest waiting request has waited, in milliseconds."""
         oldest = min(
             (queue.oldest_enqueued_ms() for queue in self.queue_by_adapter.values()), default=now_ms
         )
         return now_ms - oldest
 
     def loads_in_progress(self) -> int:
-        """Return how many slots are being loaded or cleared for a load."""
+        """Return how many slots are loading, or unloading to be loaded with another adapter."""
         return sum(
             1
             for slot in self.slot_by_adapter.values()
@@ -92,7 +94,7 @@
         )
 
     def resident(self) -> list[AdapterRef]:
-        """Return the adapters that serve new requests."""
+        """Return the adapters that accept new requests."""
         return [
             slot.adapter
             for slot in self.slot_by_adapter.values()
@@ -106,7 +108,7 @@
         self.queue_by_adapter.setdefault(waiting.adapter, AdapterQueue()).add(waiting)
 
     def withdraw(self, request_id: str) -> bool:
-        """Take a waiting request out of its queue.
+        """Remove a waiting request from its queue.
 
         :returns: whether it was waiting.
         """
@@ -119,20 +121,22 @@
 
     def dispatch_ready(self, now_ms: int, permission: Permission) -> list[Dispatch]:
         """Pick the requests to send now and pin their adapters."""
-        picked: list[Dispatch] = []
+        dispatches: list[Dispatch] = []
         if permission is Permission.NOTHING:
-            return picked
+            return dispatches
         while self.running < self.limits.max_batch:
             waiting = self._next_waiting()
             if waiting is None:
-                return picked
+                return dispatches
             self._dequeue(waiting.adapter, waiting)
             self._pin(waiting, now_ms)
-            picked.append(Dispatch(waiting.request_id, waiting.adapter))
-        return picked
+            dispatches.append(Dispatch(waiting.request_id, waiting.adapter))
+        return dispatches
 
     def load_options(self, now_ms: int, permission: Permission) -> list[LoadCandidate]:
-        """Return the loads that help most: one for customers in service, one for newcomers.
+        """Return the most urgent loads: one for established customers, one for newcomers.
+
+        Also closes an adapter to new requests when no slot can be evicted, or reopens closed ones.
 
         :returns: only loads that could start now.
         """
@@ -157,9 +161,9 @@
         return options if self._choose_victim(now_ms) is not None else []
 
     def start_load(self, adapter: AdapterRef, now_ms: int, permission: Permission) -> list[Order]:
-        """Begin a load that was granted; may begin with an eviction.
+        """Start a load that was granted, with an eviction first where no slot is free.
 
-        :returns: the orders to send, none when the state changed since the grant was asked for.
+        :returns: the orders to send; none if the state changed since the grant was requested.
         """
         if adapter in self.slot_by_adapter or permission is Permission.NOTHING:
             return []
@@ -176,7 +180,7 @@
         return [Unload(victim.adapter)]
 
     def handle_loaded(self, adapter: AdapterRef, now_ms: int) -> None:
-        """Take the engine's word that a load is complete."""
+        """Handle the engine's confirmation that a load is complete."""
         slot = self.slot_by_adapter.get(adapter)
         if slot is None or slot.state is not SlotState.LOADING:
             return
@@ -187,9 +191,9 @@
         self._retry_at_ms_by_adapter.pop(adapter, None)
 
     def handle_load_failure(self, adapter: AdapterRef, now_ms: int) -> list[WaitingRequest]:
-        """Take a failed load; it is tried again later, a bounded number of times.
+        """Handle a failed load; it is retried after a backoff, a limited number of times.
 
-        :returns: the waiters to give up on, once the adapter has failed too often.
+        :returns: the waiting requests to refuse, once the adapter has failed too often.
         """
         slot = self.slot_by_adapter.get(adapter)
         if slot is None or slot.state is not SlotState.LOADING:
@@ -197,15 +201,15 @@
         del self.slot_by_adapter[adapter]
         failures = self._failures_by_adapter.get(adapter, 0) + 1
         self._failures_by_adapter[adapter] = failures
-        backoff = min(LOAD_BACKOFF_START_MS * 2 ** (failures - 1), LOAD_BACKOFF_MAX_MS)
-        self._retry_at_ms_by_adapter[adapter] = now_ms + backoff
+        backoff_ms = min(LOAD_BACKOFF_START_MS * 2 ** (failures - 1), LOAD_BACKOFF_MAX_MS)
+        self._retry_at_ms_by_adapter[adapter] = now_ms + backoff_ms
         if failures < MAX_LOAD_FAILURES:
             return []
         queue = self.queue_by_adapter.pop(adapter, None)
         return queue.waiting_requests() if queue else []
 
     def handle_unloaded(self, adapter: AdapterRef) -> list[Order]:
-        """Take the engine's word that an adapter is gone; its slot passes on."""
+        """Handle the engine's confirmation of an unload; the slot goes to its next adapter."""
         slot = self.slot_by_adapter.get(adapter)
         if slot is None or slot.state is not SlotState.UNLOADING:
             return []
@@ -217,7 +221,10 @@
         return [Load(slot.next_adapter)]
 
     def handle_run_end(self, request_id: str, now_ms: int) -> list[Order]:
-        """Release the pin of a request that no longer runs on the engine."""
+        """Release the pin of a request that no longer runs on the engine.
+
+        :returns: the unload of its adapter, if its slot is closing and has no other pins.
+        """
         adapter = self.adapter_by_run_id.pop(request_id, None)
         if adapter is None:
             return []
@@ -229,7 +236,7 @@
         return self._unload_if_idle(slot) if slot.state is SlotState.CLOSING else []
 
     def adopt(self, resident: dict[AdapterRef, set[str]], now_ms: int) -> None:
-        """Take over what an engine holds, with the running requests as pins."""
+        """Record the adapters that an engine holds at takeover; running requests pin theirs."""
         for adapter, pins in resident.items():
             slot = self.slot_by_adapter.setdefault(adapter, Slot(adapter, SlotState.RESIDENT))
             slot.pins |= pins
@@ -238,34 +245,35 @@
                 self.adapter_by_run_id[request_id] = adapter
 
     def reconcile(self, boot_id: str, resident: set[AdapterRef]) -> bool:
-        """Take the engine's own word on what it holds, given while no order was under way.
+        """Correct the slots by the engine's report, made while no order was in progress.
 
-        Two failures make the owner's memory differ: an engine that restarted empty, and a load
-        whose answers were all lost, which counts as failed while its adapter is in place. Pinned
-        slots stay: after a restart, runs of the new boot may already use them, and evicting their
-        adapters would cut them. Runs that the restart ended lose their pins with their streams.
+        Two failures make the recorded slots differ from the engine's: the engine restarted empty,
+        or all answers to a load were lost, so that it counts as failed although the adapter is
+        resident. Pinned slots stay: after a restart, runs of the new boot may already use them, and
+        evicting their adapters would abort those runs. Runs that the restart ended release their
+        pins when their streams end.
 
         :returns: whether anything differed.
         """
-        gone = [
+        missing = [
             slot.adapter
             for slot in self.slot_by_adapter.values()
             if slot.adapter not in resident
             and not slot.pins
             and slot.state in (SlotState.RESIDENT, SlotState.CLOSING)
         ]
-        for adapter in gone:
+        for adapter in missing:
             del self.slot_by_adapter[adapter]
         unknown = [adapter for adapter in sorted(resident) if adapter not in self.slot_by_adapter]
-        taken = unknown[: max(0, self.limits.slots - len(self.slot_by_adapter))]
-        for adapter in taken:
+        added = unknown[: max(0, self.limits.slots - len(self.slot_by_adapter))]
+        for adapter in added:
             self.slot_by_adapter[adapter] = Slot(adapter, SlotState.RESIDENT)
-        restarted = boot_id != self.boot_id
+        has_restarted = boot_id != self.boot_id
         self.boot_id = boot_id
-        return bool(gone or taken or restarted)
+        return bool(missing or added or has_restarted)
 
     def drop_queues(self) -> list[WaitingRequest]:
-        """Empty all queues, for handing the runner over.
+        """Empty all queues, before the requests are placed elsewhere.
 
         :returns: every request that waited.
         """
@@ -276,7 +284,7 @@
         return waiting
 
     def check_invariants(self) -> None:
-        """Assert the rules that hold between any two events."""
+        """Check the rules that hold between any two events."""
         require(len(self.slot_by_adapter) <= self.limits.slots, "slots never exceed the engine's")
         for request_id, adapter in self.adapter_by_run_id.items():
             slot = self.slot_by_adapter.get(adapter)
@@ -309,7 +317,7 @@
 
     def _pin(self, waiting: WaitingRequest, now_ms: int) -> None:
         slot = self.slot_by_adapter[waiting.adapter]
-        require(slot.state is SlotState.RESIDENT, "only a resident adapter serves")
+        require(slot.state is SlotState.RESIDENT, "only a resident adapter serves requests")
         slot.pins.add(waiting.request_id)
         slot.last_used_ms = now_ms
         self.stall.record(max(0, slot.resident_since_ms - waiting.enqueued_ms), now_ms)
@@ -317,20 +325,23 @@
         self.served_by_customer[waiting.customer] += 1.0 / waiting.weight
 
     def _start_customer_share(self, customer: str) -> None:
-        """Start a customer at the least served one's count, so that idling earns no credit."""
-        active = {
+        """Raise the served count of a customer with no waiting request to the lowest waiting one.
+
+        Otherwise a customer that was idle would be served ahead of all others until it caught up.
+        """
+        waiting_customers = {
             head.customer for queue in self.queue_by_adapter.values() if (head := queue.head())
         }
-        if customer in active:
+        if customer in waiting_customers:
             return
-        floor = min((self.served_by_customer[name] for name in active), default=0.0)
+        floor = min((self.served_by_customer[name] for name in waiting_customers), default=0.0)
         self.served_by_customer[customer] = max(self.served_by_customer.get(customer, 0.0), floor)
 
     def _load_candidate(
         self, adapter: AdapterRef, queue: AdapterQueue, now_ms: int
     ) -> LoadCandidate:
-        waited_s = queue.total_wait_ms(now_ms) / 1000
-        score = self.weights.stall * waited_s + self.weights.batch * queue.count
+        total_wait_s = queue.total_wait_ms(now_ms) / 1000
+        score = self.weights.stall * total_wait_s + self.weights.batch * queue.count
         background = queue.background_count == queue.count
         overdue = now_ms - queue.oldest_enqueued_ms() > self.weights.max_wait_ms
         return LoadCandidate(self.runner_id, adapter, score, overdue, queue.count, background)
@@ -343,7 +354,10 @@
         self.slot_by_adapter[adapter] = Slot(adapter, SlotState.LOADING)
 
     def _choose_victim(self, now_ms: int) -> Slot | None:
-        """Choose the idle adapter that is least likely to be asked for again."""
+        """Choose the idle adapter that is least likely to be requested again.
+
+        That is the one with the lowest usage score; of equal ones, the least recently used.
+        """
         idle = [slot for slot in self.slot_by_adapter.values() if self._is_evictable(slot)]
         return min(
             idle,
@@ -359,28 +373,34 @@
         return slot.state is SlotState.RESIDENT and slot.adapter not in self.queue_by_adapter
 
     def _reopen_closing(self) -> None:
-        """Let adapters that were closed to make room serve again, once nobody needs the room.
+        """Reopen closed adapters once no load needs their slots.
 
-        One that stayed closed would leave its own waiters neither served nor loaded.
+        The requests that wait for a closed adapter would otherwise never be served: it accepts no
+        requests, and it is not loaded again since it is still in its slot.
         """
         for slot in self.slot_by_adapter.values():
             if slot.state is SlotState.CLOSING:
                 slot.state = SlotState.RESIDENT
 
     def _close_least_used(self, adapter: AdapterRef, now_ms: int) -> None:
-        """Drain the least valuable adapter when a waiter finds every slot pinned."""
+        """Close the least used adapter once a request has waited too long for a pinned slot.
+
+        Its slot is unloaded when its running requests have ended. One slot at a time is closed.
+        """
         queue = self.queue_by_adapter[adapter]
         if now_ms - queue.oldest_enqueued_ms() < self.weights.close_after_ms:
             return
         states = [slot.state for slot in self.slot_by_adapter.values()]
         if SlotState.CLOSING in states or SlotState.UNLOADING in states:
             return
-        open_slots = [
+        resident_slots = [
             slot for slot in self.slot_by_adapter.values() if slot.state is SlotState.RESIDENT
         ]
-        if open_slots:
-            least = min(open_slots, key=lambda slot: self._usage_of(slot.adapter).score_at(now_ms))
-            least.state = SlotState.CLOSING
+        if resident_slots:
+            least_used = min(
+                resident_slots, key=lambda slot: self._usage_of(slot.adapter).score_at(now_ms)
+            )
+            least_used.state = SlotState.CLOSING
 
     def _unload_if_idle(self, slot: Slot) -> list[Order]:
         if slot.pins:
@@ -390,19 +410,19 @@
         return [Unload(slot.adapter)]
 
     def _usage_of(self, adapter: AdapterRef) -> UsageScore:
-        heat = self.usage_by_adapter.get(adapter)
-        if heat is None:
-            heat = self.usage_by_adapter[adapter] = UsageScore()
+        usage = self.usage_by_adapter.get(adapter)
+        if usage is None:
+            usage = self.usage_by_adapter[adapter] = UsageScore()
             if len(self.usage_by_adapter) > MAX_USAGE_SCORES:
                 self._drop_least_used()
-        return heat
+        return usage
 
     def _drop_least_used(self) -> None:
-        """Drop the colder half of the adapters that were asked for, so that memory is bounded."""
-        latest_ms = max(heat.updated_ms for heat in self.usage_by_adapter.values())
-        order = sorted(
+        """Drop the lower half of the usage scores, except of adapters in slots, to bound memory."""
+        latest_ms = max(usage.updated_ms for usage in self.usage_by_adapter.values())
+        by_score = sorted(
             self.usage_by_adapter, key=lambda name: self.usage_by_adapter[name].score_at(latest_ms)
         )
-        for adapter in order[: len(order) // 2]:
+        for adapter in by_score[: len(by_score) // 2]:
             if adapter not in self.slot_by_adapter:
                 del self.usage_by_adapter[adapter]
--- a/monsoonflow/runner/const.py
+++ b/monsoonflow/runner/const.py
@@ -1,4 +1,4 @@
-"""Constants of a runner."""
+"""Constants of a runner: half-lives, limits and states."""
 
 from __future__ import annotations
 
@@ -14,7 +14,10 @@
 
 
 class SlotState(StrEnum):
-    """Names the states of an adapter slot."""
+    """The states of an adapter slot.
+
+    A closing slot accepts no new requests; it is unloaded once its running requests have ended.
+    """
 
     LOADING = "loading"
     RESIDENT = "resident"
@@ -23,7 +26,10 @@
 
 
 class Permission(StrEnum):
-    """Names what the owner of a runner may order at the moment."""
+    """What the owner of a runner may currently order.
+
+    After a takeover, evictions may be forbidden while an earlier owner can still be active.
+    """
 
     ALL = "all"
     NO_EVICTION = "no_eviction"
--- a/monsoonflow/runner/models.py
+++ b/monsoonflow/runner/models.py
@@ -1,4 +1,4 @@
-"""Data that the runner aggregate takes in and hands out."""
+"""Data types of the runner aggregate: limits, queues, slots, usage scores and orders."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @attrs.frozen(slots=True)
 class RunnerLimits:
-    """Tells what the engine reported about itself.
+    """The limits that the engine reported about itself.
 
-    :param slots: how many adapters fit.
-    :param max_batch: how many requests one engine step serves at most.
+    :param slots: how many adapters it can hold at once.
+    :param max_batch: the maximum number of requests in one engine step.
     """
 
     slots: int
@@ -27,12 +27,12 @@
 
 @attrs.frozen(slots=True)
 class LoadWeights:
-    """Balances load stalls against batch efficiency.
+    """Weights that balance load stalls against batch efficiency when loads are scored.
 
-    :param stall: what a second of waiting counts.
-    :param batch: what one more request to be served by a load counts.
-    :param wait_bound_ms: the wait after which the oldest waiter goes first.
-    :param close_after_ms: the wait after which a pinned slot is drained for a waiter.
+    :param stall: the score of one second of waiting.
+    :param batch: the score of each request that a load would serve.
+    :param max_wait_ms: the wait after which a load is overdue and precedes any higher score.
+    :param close_after_ms: the wait after which a pinned slot is closed to make room for a request.
     """
 
     stall: float = 1.0
@@ -45,8 +45,9 @@
 class WaitingRequest:
     """A request that waits at a runner.
 
-    :param weight: the customer's share when customers compete.
-    :param background: whether its customer is a newcomer, whose loads take a bounded share.
+    :param priority: its class; 0 is the most urgent.
+    :param background: whether its customer is a newcomer, whose loads get a bounded share.
+    :param weight: the customer's relative share when customers compete.
     """
 
     request_id: str
@@ -60,42 +61,42 @@
 
 @attrs.define(slots=True)
 class UsageScore:
-    """Measures how often something is asked for, decaying over time."""
+    """Measures how often an adapter is requested; halves in each half-life."""
 
     score: float = 0.0
     updated_ms: int = 0
 
     def score_at(self, now_ms: int) -> float:
-        """Return the decayed value."""
+        """Return the score, decayed to the given time."""
         return self.score * math.exp2((self.updated_ms - now_ms) / USAGE_HALF_LIFE_MS)
 
     def record_use(self, now_ms: int) -> None:
-        """Count one use."""
+        """Add one use."""
         self.score = self.score_at(now_ms) + 1.0
         self.updated_ms = now_ms
 
 
 @attrs.define(slots=True)
 class LoadStalls:
-    """Sums how long requests waited for their adapter and counts them; both fade over time."""
+    """Sums and counts the waits of requests for a load of their adapter; both decay over time."""
 
     sum_ms: float = 0.0
     count: float = 0.0
     updated_ms: int = 0
 
     def record(self, stall_ms: int, now_ms: int) -> None:
-        """Count one request."""
-        fade = self._decay_factor(now_ms)
-        self.sum_ms = self.sum_ms * fade + stall_ms
-        self.count = self.count * fade + 1.0
+        """Add one request, also one that did not wait for a load (0 ms)."""
+        factor = self._decay_factor(now_ms)
+        self.sum_ms = self.sum_ms * factor + stall_ms
+        self.count = self.count * factor + 1.0
         self.updated_ms = now_ms
 
     def total_ms(self, now_ms: int) -> float:
-        """Return the faded sum."""
+        """Return the decayed sum."""
         return self.sum_ms * self._decay_factor(now_ms)
 
     def weight(self, now_ms: int) -> float:
-        """Return the faded count."""
+        """Return the decayed number of requests."""
         return self.count * self._decay_factor(now_ms)
 
     def _decay_factor(self, now_ms: int) -> float:
@@ -104,10 +105,10 @@
 
 @attrs.define(slots=True)
 class Slot:
-    """One adapter slot of a runner that is not free.
+    """An occupied adapter slot of a runner.
 
-    :param pins: the requests that use the adapter now.
-    :param successor: the adapter that gets the slot once this one is unloaded.
+    :param pins: the requests that use the adapter now; a pinned adapter is never unloaded.
+    :param next_adapter: the adapter to load into the slot once this one is unloaded.
     """
 
     adapter: AdapterRef
@@ -120,7 +121,7 @@
 
 @attrs.define(slots=True)
 class AdapterQueue:
-    """The requests that wait for one adapter, by class; sums make scoring cheap."""
+    """The requests that wait for one adapter, by priority; running sums make scoring cheap."""
 
     queue_by_priority: dict[int, deque[WaitingRequest]] = attrs.field(factory=dict)
     count: int = 0
@@ -128,21 +129,21 @@
     enqueued_sum_ms: int = 0
 
     def add(self, waiting: WaitingRequest) -> None:
-        """Append a request."""
+        """Append a request to the queue of its priority."""
         self.queue_by_priority.setdefault(waiting.priority, deque()).append(waiting)
         self.count += 1
         self.background_count += waiting.background
         self.enqueued_sum_ms += waiting.enqueued_ms
 
     def head(self) -> WaitingRequest | None:
-        """Return the request to serve next: the most urgent class, then the oldest."""
+        """Return the request to serve next: the oldest of the most urgent priority."""
         for priority in sorted(self.queue_by_priority):
             if self.queue_by_priority[priority]:
                 return self.queue_by_priority[priority][0]
         return None
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Take a request out."""
+        """Remove a request."""
         self.queue_by_priority[waiting.priority].remove(waiting)
         if not self.queue_by_priority[waiting.priority]:
             del self.queue_by_priority[waiting.priority]
@@ -151,21 +152,21 @@
         self.enqueued_sum_ms -= waiting.enqueued_ms
 
     def oldest_enqueued_ms(self) -> int:
-        """Return when the longest waiter came."""
+        """Return when the request that has waited longest was queued."""
         return min(queue[0].enqueued_ms for queue in self.queue_by_priority.values())
 
     def total_wait_ms(self, now_ms: int) -> int:
-        """Return the sum of all waiting times."""
+        """Return the sum of all waiting times, in milliseconds."""
         return self.count * now_ms - self.enqueued_sum_ms
 
     def waiting_requests(self) -> list[WaitingRequest]:
-        """Return every waiter."""
+        """Return all waiting requests."""
         return [waiting for queue in self.queue_by_priority.values() for waiting in queue]
 
 
 @dataclass(frozen=True, slots=True)
 class Dispatch:
-    """Send this request to the engine now; its adapter is resident and pinned."""
+    """Order to send a request to the engine now; its adapter is resident and pinned."""
 
     request_id: str
     adapter: AdapterRef
@@ -173,14 +174,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Load an adapter into a slot that is free."""
+    """Order to load an adapter into a free slot."""
 
     adapter: AdapterRef
 
 
 @dataclass(frozen=True, slots=True)
 class Unload:
-    """Unload an adapter that nothing uses."""
+    """Order to unload an adapter that no request uses."""
 
     adapter: AdapterRef
 
@@ -190,10 +191,13 @@
 
 @attrs.frozen(slots=True)
 class LoadCandidate:
-    """The load that helps a runner most.
+    """A load that would serve waiting requests of a runner.
 
-    :param score: waiting cost per load; higher goes first.
-    :param overdue: whether a waiter is past the bound, which goes before any score.
+    :param score: the cost of the waiting that the load would end; higher goes first.
+    :param overdue: whether a request has waited longer than the maximum wait, which precedes any
+        score.
+    :param waiting_count: how many requests wait for the adapter.
+    :param background: whether only newcomers' requests wait for it.
     """
 
     runner_id: str
@@ -204,11 +208,14 @@
     background: bool = False
 
     def urgency(self) -> tuple[bool, float, str, AdapterRef]:
-        """Return the sort key: overdue first, then the score; the rest only breaks ties."""
+        """Return the sort key: overdue, then score; the ids only break ties."""
         return (self.overdue, self.score, self.runner_id, self.adapter)
 
 
 def best_of_each_kind(candidates: list[LoadCandidate]) -> list[LoadCandidate]:
-    """Return the most urgent candidate in service, then the most urgent newcomer."""
-    kinds = ([entry for entry in candidates if entry.background is kind] for kind in (False, True))
-    return [max(kind, key=LoadCandidate.urgency) for kind in kinds if kind]
+    """Return the most urgent candidate of established customers, then of newcomers."""
+    groups = (
+        [candidate for candidate in candidates if candidate.background is is_background]
+        for is_background in (False, True)
+    )
+    return [max(group, key=LoadCandidate.urgency) for group in groups if group]
