--- a/tests/runner/__init__.py
+++ b/tests/runner/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the runner component."""
+"""Tests of the runner package."""
--- a/tests/runner/test_aggregate.py
+++ b/tests/runner/test_aggregate.py
@@ -1,4 +1,4 @@
-"""Tests of the runner aggregate."""
+"""Tests which requests a runner dispatches and which adapters it loads and evicts."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return Runner("m1", RunnerLimits(2, 4), LoadWeights(), "boot-1")
 
 
-def wait(runner, request_id, adapter, now_ms=0, customer="acme", priority=1):
+def enqueue(runner, request_id, adapter, now_ms=0, customer="acme", priority=1):
     runner.enqueue(WaitingRequest(request_id, adapter, customer, now_ms, priority))
 
 
@@ -37,8 +37,8 @@
     runner.check_invariants()
 
 
-def test_waits_for_its_adapter_and_pins_it(runner):
-    wait(runner, "r1", A)
+def test_request_waits_for_its_adapter_then_pins_it(runner):
+    enqueue(runner, "r1", A)
     assert runner.dispatch_ready(0, ALL) == []
     load(runner, A)
     assert runner.dispatch_ready(5, ALL) == [Dispatch("r1", A)]
@@ -46,105 +46,105 @@
     runner.check_invariants()
 
 
-def test_one_load_serves_all_that_wait(runner):
+def test_one_load_serves_all_requests_that_wait_for_it(runner):
     for number in range(3):
-        wait(runner, f"r{number}", A)
+        enqueue(runner, f"r{number}", A)
     load(runner, A)
     assert len(runner.dispatch_ready(0, ALL)) == 3
 
 
-def test_most_waiting_cost_is_loaded_first(runner):
-    wait(runner, "r1", A, 0)
-    wait(runner, "r2", B, 10)
-    wait(runner, "r3", B, 10)
+def test_adapter_with_highest_waiting_cost_is_loaded_first(runner):
+    enqueue(runner, "r1", A, 0)
+    enqueue(runner, "r2", B, 10)
+    enqueue(runner, "r3", B, 10)
     assert runner.load_options(20, ALL)[0].adapter == B
 
 
-def test_oldest_goes_first_past_the_bound(runner):
-    wait(runner, "r1", A, 0)
+def test_overdue_request_is_loaded_before_higher_scores(runner):
+    enqueue(runner, "r1", A, 0)
     for number in range(100):
-        wait(runner, f"b{number}", B, 10_500)
+        enqueue(runner, f"b{number}", B, 10_500)
     assert runner.load_options(10_600, ALL)[0].adapter == A
 
 
 def test_pinned_adapters_are_never_evicted(runner):
-    """All slots serve requests and another adapter's request waits.
+    """All slots serve requests while a request for another adapter waits.
 
-    Evicting a serving adapter would cut its request or let it run on other weights. The waiter
-    waits; after the bound the least valuable adapter takes no more and goes once it is idle.
+    Evicting an adapter in use would abort its request or let it run on other weights. Instead, the
+    least used adapter is closed after ``close_after_ms`` and unloaded once it is idle.
     """
-    wait(runner, "r1", A)
-    wait(runner, "r2", B)
+    enqueue(runner, "r1", A)
+    enqueue(runner, "r2", B)
     load(runner, A)
     load(runner, B)
     runner.dispatch_ready(0, ALL)
-    wait(runner, "r3", C, 100)
+    enqueue(runner, "r3", C, 100)
     assert runner.load_options(200, ALL) == []
     assert runner.start_load(C, 200, ALL) == []
     assert runner.load_options(5_000, ALL) == []
     closing = [s.adapter for s in runner.slot_by_adapter.values() if s.state is SlotState.CLOSING]
     assert len(closing) == 1
-    busy = next(run for run, adapter in runner.adapter_by_run_id.items() if adapter in closing)
-    assert runner.handle_run_end(busy, 5_100) == [Unload(closing[0])]
+    run_id = next(run for run, adapter in runner.adapter_by_run_id.items() if adapter in closing)
+    assert runner.handle_run_end(run_id, 5_100) == [Unload(closing[0])]
     runner.handle_unloaded(closing[0])
     assert runner.start_load(C, 5_100, ALL) == [Load(C)]
 
 
-def test_closed_adapter_with_waiters_serves_again(runner):
-    """An adapter closed for room keeps waiters of its own while the other's waiter gives up.
+def test_closed_adapter_reopens_when_its_slot_is_no_longer_needed(runner):
+    """Requests wait for a closed adapter, and the request that needed its slot is withdrawn.
 
-    Left closed, it would be neither a candidate to load nor a server: its waiters would wait for
-    their deadline. It reopens once nobody needs the room.
+    If it stayed closed, it would be neither loaded again nor used, and its requests would wait
+    until their deadline.
     """
-    wait(runner, "r1", A)
-    wait(runner, "r2", B)
+    enqueue(runner, "r1", A)
+    enqueue(runner, "r2", B)
     load(runner, A)
     load(runner, B)
     runner.dispatch_ready(0, ALL)
-    wait(runner, "r3", C, 100)
+    enqueue(runner, "r3", C, 100)
     runner.load_options(5_000, ALL)
     closing = next(s for s in runner.slot_by_adapter.values() if s.state is SlotState.CLOSING)
-    wait(runner, "r4", closing.adapter, 5_000)
+    enqueue(runner, "r4", closing.adapter, 5_000)
     assert runner.dispatch_ready(5_000, ALL) == []
     runner.withdraw("r3")
     runner.load_options(5_100, ALL)
     assert runner.dispatch_ready(5_100, ALL) == [Dispatch("r4", closing.adapter)]
 
 
-def test_without_permission_to_evict_only_free_slots_are_used(runner):
+def test_nothing_is_evicted_without_permission(runner):
     load(runner, A)
     load(runner, B)
-    wait(runner, "r1", C)
+    enqueue(runner, "r1", C)
     assert runner.load_options(0, Permission.NO_EVICTION) == []
     assert runner.start_load(C, 0, Permission.NO_EVICTION) == []
     assert runner.dispatch_ready(0, Permission.NOTHING) == []
 
 
-def test_batch_is_never_overfilled(runner):
+def test_dispatches_never_exceed_max_batch(runner):
     for number in range(9):
-        wait(runner, f"r{number}", A)
+        enqueue(runner, f"r{number}", A)
     load(runner, A)
     assert len(runner.dispatch_ready(0, ALL)) == 4
 
 
-def test_urgent_class_goes_first(runner):
+def test_most_urgent_priority_is_dispatched_first(runner):
     for number in range(4):
-        wait(runner, f"tile{number}", A, number, priority=3)
-    wait(runner, "lookup", A, 10, priority=0)
+        enqueue(runner, f"tile{number}", A, number, priority=3)
+    enqueue(runner, "lookup", A, 10, priority=0)
     load(runner, A)
     assert runner.dispatch_ready(20, ALL)[0] == Dispatch("lookup", A)
 
 
 def test_customers_share_the_batch(runner):
     for number in range(8):
-        wait(runner, f"x{number}", A, 0, customer="busy")
-    wait(runner, "y0", B, 1, customer="small")
+        enqueue(runner, f"x{number}", A, 0, customer="busy")
+    enqueue(runner, "y0", B, 1, customer="small")
     load(runner, A)
     load(runner, B)
     assert Dispatch("y0", B) in runner.dispatch_ready(2, ALL)[:2]
 
 
-def test_weight_gives_a_larger_share():
+def test_customer_with_higher_weight_gets_larger_share():
     runner = Runner("m1", RunnerLimits(2, 9), LoadWeights(), "boot-1")
     for number in range(9):
         runner.enqueue(WaitingRequest(f"x{number}", A, "light", 0, weight=1.0))
@@ -155,24 +155,24 @@
     assert picked.count(B) == 6
 
 
-def test_failing_load_is_tried_again_later_then_given_up(runner):
-    wait(runner, "r1", A)
+def test_failed_load_is_retried_after_backoff_then_abandoned(runner):
+    enqueue(runner, "r1", A)
     now_ms = 0
     for attempt in range(MAX_LOAD_FAILURES):
         assert runner.start_load(A, now_ms, ALL) == [Load(A)]
-        waiters = runner.handle_load_failure(A, now_ms)
-        assert bool(waiters) == (attempt == MAX_LOAD_FAILURES - 1)
+        refused = runner.handle_load_failure(A, now_ms)
+        assert bool(refused) == (attempt == MAX_LOAD_FAILURES - 1)
         assert runner.load_options(now_ms, ALL) == []
         now_ms += 60_000
 
 
-def test_restart_is_taken_from_the_engine_but_pins_stay(runner):
-    """The engine restarts, loads again, runs a request, and only then its owner learns of it.
+def test_reconcile_after_engine_restart_keeps_pinned_adapters(runner):
+    """The engine restarts, loads an adapter and runs a request before its owner notices.
 
-    Forgetting everything would drop the pin of the run on the new boot, and its adapter could be
-    evicted under it (seen in randomised runs). What is pinned stays until its stream has ended.
+    Clearing all slots would drop the pin of the run on the new boot, and its adapter could be
+    evicted during the run. Pinned adapters stay until their streams have ended.
     """
-    wait(runner, "r1", A)
+    enqueue(runner, "r1", A)
     load(runner, A)
     load(runner, B)
     runner.dispatch_ready(0, ALL)
@@ -182,12 +182,13 @@
     runner.check_invariants()
 
 
-def test_load_with_lost_answers_is_found_on_the_engine(runner):
-    """A load takes effect, all its answers are lost, and the owner counts it as failed.
+def test_reconcile_finds_adapter_whose_load_answers_were_lost(runner):
+    """A load succeeds, but all its answers are lost and the owner counts it as failed.
 
-    The slot looks free while the engine has none: every further load would be refused for good.
+    The owner would see a free slot that the engine does not have, and the engine would refuse every
+    further load.
     """
-    wait(runner, "r1", A)
+    enqueue(runner, "r1", A)
     runner.start_load(A, 0, ALL)
     runner.handle_load_failure(A, 10)
     assert runner.reconcile("boot-1", {A})
@@ -198,10 +199,11 @@
 def test_adopted_runs_pin_their_adapters(runner):
     """A new owner finds a run of the earlier owner on the engine.
 
-    Unpinned, its adapter could be evicted under the run; it stays until the engine says it ended.
+    Without a pin, its adapter could be evicted during the run. The pin stays until the engine
+    confirms that the run has ended.
     """
     runner.adopt({A: {"old-run"}, B: set()}, 0)
-    wait(runner, "r1", C)
+    enqueue(runner, "r1", C)
     orders = runner.start_load(C, 0, ALL)
     assert orders == [Unload(B)]
     runner.check_invariants()
