--- a/tests/entry/test_crowded.py
+++ b/tests/entry/test_crowded.py
@@ -25,8 +25,9 @@
 def test_a_second_copy_is_loaded_where_prefill_is_in_time(fleet, receiver):
     """One runner holds the adapter and has 500,000 prompt tokens pending; another is idle.
 
-    A request at the first one waits until its caller has left, as all of 303 requests did that one
-    runner refused in a day. Loading the adapter at the other takes a third of a second.
+    A request sent to the first one waits until its caller has left, which happened to all of 303
+    requests that one runner refused in a day. Loading the adapter at the other takes a third of a
+    second.
     """
     runners = [fleet.runner("i-1"), fleet.runner("i-2")]
     node = fleet.node()
--- a/tests/entry/test_duty_without_fences.py
+++ b/tests/entry/test_duty_without_fences.py
@@ -88,14 +88,14 @@
     """Nodes that share one table, in virtual time.
 
     :ivar holders: the nodes that held the lease at each step.
-    :ivar cut: links, as sender and receiver, that lose all heartbeats.
+    :ivar cut_links: links, as sender and receiver, that lose all heartbeats.
     """
 
     clock: ManualClock
     table: OneRowTable
     nodes: dict[str, Node]
     holders: list[set[str]] = attrs.Factory(list)
-    cut: set[tuple[str, str]] = attrs.Factory(set)
+    cut_links: set[tuple[str, str]] = attrs.Factory(set)
 
     def run(self, for_ms: int) -> None:
         """Advance the time: heartbeats every 200 ms, a step of the lease loops every 100 ms."""
@@ -114,7 +114,7 @@
         heartbeats = [node.heartbeat(now_ms) for node in running if not node.is_isolated]
         for node in running:
             for heartbeat in heartbeats if not node.is_isolated else ():
-                if (heartbeat.name, node.name) not in self.cut:
+                if (heartbeat.name, node.name) not in self.cut_links:
                     node.view.receive(heartbeat, now_ms)
 
     def start(self, name: str, boot_id: str) -> None:
@@ -211,7 +211,7 @@
 
 
 def test_a_holder_that_dies_is_replaced_within_two_seconds(fleet):
-    """The holder's VM loses power. By seldom read rows alone, this took 3.4 to 4.3 s."""
+    """The holder's VM loses power. By its lease alone, read now and then, it took 3.4 to 4.3 s."""
     fleet.nodes["a"].is_running = False
     fleet.run(2_500)
     assert fleet.holder() in ("b", "c", "d")
@@ -219,7 +219,7 @@
 
 
 def test_a_restarted_candidate_hears_from_the_holder_before_it_may_claim(fleet):
-    """It has forgotten its promise, so it waits from its start as long as a promise lasts."""
+    """The node has forgotten its promise, so it waits from its start as long as a promise lasts."""
     lose_store(fleet)
     old = fleet.nodes["b"]
     fleet.start("b", "boot-b2")
@@ -248,7 +248,7 @@
 
 
 def test_a_lease_does_not_return_to_a_node_within_its_duration():
-    """It moves from one node to another and, released, back to the first within a second.
+    """The lease moves to another node and, once released, could return within a second.
 
     Orders of both may be on their way to one runner, which can't tell them apart.
     """
@@ -271,11 +271,11 @@
 def test_an_ack_of_a_heartbeat_without_the_claim_is_no_promise(fleet):
     """The holder no longer announces its claim; an ack of such a heartbeat gives it no right."""
     view = fleet.nodes["a"].view
-    other = fleet.nodes["b"].heartbeat(fleet.clock.now_ms())
+    ack_heartbeat = fleet.nodes["b"].heartbeat(fleet.clock.now_ms())
     assert view.acked_claim_sent_ms("b", "boot-a", "llm") is not None
     view.record_sent(999, (), fleet.clock.now_ms())
-    acks = tuple(attrs.evolve(entry, sequence=999) for entry in other.acks)
-    view.receive(attrs.evolve(other, sequence=5_000, acks=acks), fleet.clock.now_ms())
+    acks = tuple(attrs.evolve(entry, sequence=999) for entry in ack_heartbeat.acks)
+    view.receive(attrs.evolve(ack_heartbeat, sequence=5_000, acks=acks), fleet.clock.now_ms())
     assert view.acked_claim_sent_ms("b", "boot-a", "llm") is None
 
 
@@ -291,7 +291,7 @@
 
 def test_a_holder_that_a_candidate_never_heard_from_stops_with_its_lease(fleet):
     """One link is cut in one direction: the holder hears from a node that does not hear from it."""
-    fleet.cut = {("a", "b")}
+    fleet.cut_links = {("a", "b")}
     fleet.start("b", "boot-b2")
     fleet.read("b")
     fleet.nodes["b"].lease_loop.loaded = True
@@ -308,7 +308,7 @@
     fleet.nodes["a"].is_refused = True
     fleet.nodes["a"].lease_loop.store_reachable = False
     fleet.run(2_500)
-    fleet.cut = {("a", "b"), ("b", "a")}
+    fleet.cut_links = {("a", "b"), ("b", "a")}
     fleet.start("b", "boot-b2")
     fleet.read("b")
     fleet.nodes["b"].lease_loop.loaded = True
@@ -323,12 +323,12 @@
     fleet.nodes["d"].is_running = False
     fleet.run(2_500)
     assert "d" not in fleet.table.row.value["heirs"]
-    fleet.cut = {("a", "d"), ("d", "a")}
+    fleet.cut_links = {("a", "d"), ("d", "a")}
     fleet.start("d", "boot-d2")
     counter = fleet.table.row.value["counter"]
     while fleet.table.row.value["counter"] == counter:
         fleet.run(STEP_MS)
-    fleet.cut = {("a", "d")}
+    fleet.cut_links = {("a", "d")}
     fleet.run(250)
     fleet.nodes["a"].loses_answers = True
     fleet.run(300)
@@ -358,9 +358,9 @@
             node.is_refused = not node.is_refused
             node.lease_loop.store_reachable = not node.is_refused
         case 6:
-            fleet.cut ^= {(node.name, rng.choice(sorted(fleet.nodes)))}
+            fleet.cut_links ^= {(node.name, rng.choice(sorted(fleet.nodes)))}
         case 7:
-            fleet.cut.clear()
+            fleet.cut_links.clear()
         case 8:
             released = node.lease_loop.drop_lease()
             if released is not None:
@@ -381,7 +381,7 @@
         fleet.start(name, f"boot-{name}-last")
         fleet.nodes[name].lease_loop.loaded = True
     fleet.table.is_down = False
-    fleet.cut.clear()
+    fleet.cut_links.clear()
     fleet.run(500)
     fleet.read(*fleet.nodes)
     fleet.run(UNNAMED_CLAIM_DELAY_MS + LEASE_MS + 2_000)
--- a/tests/entry/test_lease_loop.py
+++ b/tests/entry/test_lease_loop.py
@@ -34,10 +34,10 @@
 def make_loop(clock, table):
     """Return a function that creates a node's lease loop and its view of its peers."""
 
-    def build(name, others=()):
+    def build(name, peers=()):
         view = FleetView(name)
-        for other in others:
-            view.add_record(NodeRecord(other, "x", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"))
+        for peer in peers:
+            view.add_record(NodeRecord(peer, "x", "dc", "1.1.1.1:1", "1.1.1.1:2", "1.1.1.1:3"))
         loop = CellLeaseLoop(
             "llm", name, f"boot-{name}", 3_000, True, table, view, clock, lambda: True, lambda: True
         )
@@ -83,16 +83,16 @@
     Nobody else may claim the lease yet. While that node waited for its turn behind the others, the
     fleet had no holder for half a second, just as every caller returned.
     """
-    others = ["b", "c", "d", "e", "f"]
-    previous, _ = make_loop("z", others)
+    peers = ["b", "c", "d", "e", "f"]
+    previous, _ = make_loop("z", peers)
     previous._boot = "boot-before"
     run_loop(clock, previous, 1_500)
     assert table.row.value["holder"] == "z"
-    restarted, view = make_loop("z", others)
+    restarted, view = make_loop("z", peers)
     won_ms = []
     restarted._on_won = lambda: won_ms.append(clock.now_ms())
-    for other in others:
-        view.receive(heartbeat(other), clock.now_ms())
+    for peer in peers:
+        view.receive(heartbeat(peer), clock.now_ms())
     restarted.handle_row(table.row)
     started_ms = clock.now_ms()
     run_loop(clock, restarted, 1_000)
--- a/tests/entry/test_pass_through.py
+++ b/tests/entry/test_pass_through.py
@@ -20,7 +20,7 @@
     return fleet.node()
 
 
-def ran(fleet, request_id):
+def run_count(fleet, request_id):
     return sum(server.ran[request_id] for server in fleet.servers)
 
 
@@ -89,7 +89,7 @@
         setattr(server.faults, fault, 1)
     answer = fleet.ask(one, "/write/x", "r1", b"pay")
     assert answer.head.status in (500, 502, 504)
-    assert ran(fleet, "r1") <= 1
+    assert run_count(fleet, "r1") <= 1
     assert sum(len(server.requests) for server in fleet.servers) <= 1
 
 
@@ -99,7 +99,7 @@
     answer = fleet.ask(one, "/write/x", "r1", b"pay")
     assert answer.head.status in (200, 503)
     if answer.head.status == 503:
-        assert ran(fleet, "r1") == 0
+        assert run_count(fleet, "r1") == 0
         assert answer.head.value(b"retry-after") is not None
 
 
@@ -132,7 +132,7 @@
         server.server_id = "i-other"
     answer = fleet.ask(one, "/write/x", "r1", b"pay")
     assert answer.head.status == 503
-    assert ran(fleet, "r1") == 0
+    assert run_count(fleet, "r1") == 0
 
 
 def test_a_stopped_server_fails_no_requests(fleet, one):
@@ -158,8 +158,8 @@
 
     The caller is answered at the timeout. The request may have run, so 503 would be wrong.
     """
-    short = route("write", "non_idempotent", "plain", attempts=1, timeoutMs=300)
-    fleet.configure(version=2, routes=[short])
+    short_route = route("write", "non_idempotent", "plain", attempts=1, timeoutMs=300)
+    fleet.configure(version=2, routes=[short_route])
     wait_for(lambda: one.daemon.cluster_state.route_table.version == 2)
     for server in fleet.servers:
         server.faults.slow_ms = 2_000
@@ -183,7 +183,7 @@
         b"POST /look/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\n"
         b"X-Deadline-Ms: 2900\r\nContent-Length: 0\r\n\r\n"
     )
-    wait_for(lambda: ran(fleet, "r1"))
+    wait_for(lambda: run_count(fleet, "r1"))
     sock.close()
     wait_for(lambda: sum(server.left for server in fleet.servers) == 1, 0.3)
     assert one.daemon.in_flight.work_by_server == {}
@@ -256,12 +256,14 @@
             b"POST /look/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r%d\r\n"
             b"Content-Length: 0\r\n\r\n" % number
         )
-        wait_for(lambda number=number: ran(fleet, f"r{number}"))
+        wait_for(lambda number=number: run_count(fleet, f"r{number}"))
         sock.close()
     wait_for(lambda: sum(server.left for server in fleet.servers) == 5, 1.0)
     now_ms = one.daemon.clock.now_ms()
-    shares = [one.daemon.health_tracker.failure_share(f"i-{number}", now_ms) for number in (1, 2)]
-    assert shares == [0.0, 0.0]
+    failure_shares = [
+        one.daemon.health_tracker.failure_share(f"i-{number}", now_ms) for number in (1, 2)
+    ]
+    assert failure_shares == [0.0, 0.0]
 
 
 def test_a_request_is_not_repeated_at_a_refusing_server(fleet):
@@ -314,9 +316,9 @@
     fleet.store.faults.silent = True
     gevent.sleep(2.2)
     assert fleet.ask(node, "/look/x", "r2").head.status == 200
-    ages = [
+    ages_ms = [
         int(re.search(r"servers_age_ms=(\d+)", line)[1])
         for line in caplog.messages
         if "event=request_sent" in line
     ]
-    assert ages[0] < 2_000 < ages[1]
+    assert ages_ms[0] < 2_000 < ages_ms[1]
--- a/tests/entry/test_poison.py
+++ b/tests/entry/test_poison.py
@@ -72,7 +72,7 @@
 
 
 def test_a_request_that_crashed_three_servers_reaches_no_other(fleet, supervisor):
-    """It returns with another id at any node; one such request had crashed eighteen servers."""
+    """The request returns with another id at any node; one such had crashed eighteen servers."""
     for number in range(24):
         send(fleet, fleet.nodes[number % 3], f"p{number}", POISON)
         gevent.sleep(0.1)
@@ -84,9 +84,11 @@
     answers = []
     for number in range(24):
         node = fleet.nodes[number % 3]
-        others = [gevent.spawn(send, fleet, node, f"g{number}-{n}", b"good %d" % n) for n in (1, 2)]
+        innocent_tasks = [
+            gevent.spawn(send, fleet, node, f"g{number}-{n}", b"good %d" % n) for n in (1, 2)
+        ]
         send(fleet, node, f"p{number}", POISON)
-        answers += [task.get() for task in others]
+        answers += [task.get() for task in innocent_tasks]
         gevent.sleep(0.1)
     later = [answer for answer in answers[16:] if isinstance(answer, Answer)]
     served = sum(answer.head.status == 200 for answer in later)
--- a/tests/entry/test_residency.py
+++ b/tests/entry/test_residency.py
@@ -16,7 +16,7 @@
     """A lease holder reports once a second what its runners hold; nodes check every 100 ms.
 
     A request is granted an adapter that the last report does not name. Applied again, that report
-    hid the adapter from the next request, which then asked the holder for what was there.
+    hid the adapter from the next request, which then asked the holder for what was loaded already.
     """
     residency = Residency(ManualClock(0))
     report = (ResidentAdapters(LIFE, ()),)
--- a/tests/entry/test_restarts.py
+++ b/tests/entry/test_restarts.py
@@ -71,8 +71,8 @@
         runner.faults.cut_after = 2
     stream = gevent.spawn(fleet.generate, entry_node, "a1", "r1")
     serving_runner = wait_for(lambda: next((r for r in (first, second) if r.ran["r1"]), None))
-    other = second if serving_runner is first else first
-    other.faults.cut_after = None
+    other_runner = second if serving_runner is first else first
+    other_runner.faults.cut_after = None
     serving_runner.start_again(9_000, MODEL)
     write_entry(fleet, serving_runner)
     answer = stream.get()
--- a/tests/entry/test_streams.py
+++ b/tests/entry/test_streams.py
@@ -101,9 +101,9 @@
 def test_a_node_that_is_not_the_holder_gets_its_adapter_through_the_holder(
     fleet, entry_node, runners
 ):
-    other = fleet.node()
+    other_node = fleet.node()
     holder = fleet.holder()
-    receiving_node = other if holder is entry_node else entry_node
+    receiving_node = other_node if holder is entry_node else entry_node
     assert fleet.generate(receiving_node, "a7", "r1").head.status == 200
     assert len({name for runner in runners for _, name in runner.holders}) == 1
 
@@ -113,13 +113,13 @@
 
     Another takes over with a higher fencing token, and generations continue.
     """
-    others = [fleet.node(), fleet.node()]
+    standby_nodes = [fleet.node(), fleet.node()]
     holder = fleet.holder()
     fleet.generate(holder, "a1", "r1")
     holder.kill()
     fleet.nodes.remove(holder)
     remaining_node = fleet.nodes[0]
-    assert len(others) == 2
+    assert len(standby_nodes) == 2
     wait_for(lambda: fleet.generate(remaining_node, "a9", "r2").head.status == 200)
     for runner in runners:
         tokens = [fence for fence, _ in runner.holders]
@@ -161,16 +161,16 @@
 
 
 def test_a_node_cut_off_from_the_store_gets_a_newer_configuration_from_its_peers(fleet, entry_node):
-    other = fleet.node()
-    wait_for(lambda: other.daemon.view.is_alive("n1", other.daemon.clock.now_ms()))
-    other.daemon.store_watches.operator._feed.changes = lambda *_: gevent.sleep(60)
+    other_node = fleet.node()
+    wait_for(lambda: other_node.daemon.view.is_alive("n1", other_node.daemon.clock.now_ms()))
+    other_node.daemon.store_watches.operator._feed.changes = lambda *_: gevent.sleep(60)
     gevent.sleep(0.1)
     fleet.configure(version=7)
     wait_for(lambda: entry_node.daemon.cluster_state.route_table.version == 7)
-    other.daemon.cluster_state.route_table = attrs.evolve(
+    other_node.daemon.cluster_state.route_table = attrs.evolve(
         entry_node.daemon.cluster_state.route_table, version=1
     )
-    wait_for(lambda: other.daemon.cluster_state.route_table.version == 7)
+    wait_for(lambda: other_node.daemon.cluster_state.route_table.version == 7)
 
 
 def test_a_stopping_node_finishes_its_requests_and_hands_over_the_lease(fleet, entry_node, runners):
@@ -178,7 +178,7 @@
 
     The stream runs to its end, the node is no longer advertised, and another sends the orders.
     """
-    other = fleet.node()
+    other_node = fleet.node()
     holder = fleet.holder()
     for runner in runners:
         runner.events, runner.event_ms = 20, 40
@@ -190,7 +190,7 @@
     wait_for(lambda: answers)
     assert event_ids(answers[0].body) == list(range(1, 21))
     assert not holder.daemon.is_ready()
-    remaining_node = other if holder is entry_node else entry_node
+    remaining_node = other_node if holder is entry_node else entry_node
     wait_for(lambda: remaining_node.daemon.cell_leases.lease_of("llm").scheduler is not None)
     stop_task.join(10)
     assert stop_task.ready()
@@ -245,8 +245,8 @@
     If the request were held for a share of its deadline, it would be worked on for a caller that
     has left, and the caller would not be told when to retry.
     """
-    quick = route("read", "stream", "llm", resumable=True, targetLatencyMs=600, gapAimMs=100)
-    fleet.configure(version=2, routes=[{**quick, "timeoutMs": 8_000}])
+    quick_route = route("read", "stream", "llm", resumable=True, targetLatencyMs=600, gapAimMs=100)
+    fleet.configure(version=2, routes=[{**quick_route, "timeoutMs": 8_000}])
     wait_for(lambda: entry_node.daemon.cluster_state.route_table.version == 2)
     for runner in runners:
         runner.start_again(1_000)
@@ -266,7 +266,7 @@
 
     Placed there by the holder each time, one request reached the runner 41 times in 0.2 s.
     """
-    other = fleet.node()
+    other_node = fleet.node()
     assert fleet.generate(entry_node, "a1", "r1").head.status == 200
     first_runner = next(runner for runner in runners if runner.ran["r1"])
     request_ids = []
@@ -279,9 +279,9 @@
     first_runner._run = record_request
     first_runner.adapters.clear()
     first_runner.sequence += 1
-    for node in (entry_node, other):
+    for node in (entry_node, other_node):
         wait_for(lambda node=node: node.daemon.cell_leases.residency.holders("m/a1"))
-    answer = fleet.generate(other if fleet.holder() is entry_node else entry_node, "a1", "r2")
+    answer = fleet.generate(other_node if fleet.holder() is entry_node else entry_node, "a1", "r2")
     assert answer.head.status == 200
     assert request_ids.count(b"r2") <= 3
 
@@ -312,8 +312,8 @@
     If a runner with slow prefill is told only then, it continues for 0.75 s with a prompt that
     nobody needs: 10 of 14 such requests on a loaded day. Answered before, the caller may retry.
     """
-    slow = route("read", "stream", "llm", resumable=True, gapAimMs=400, timeoutMs=9_000)
-    fleet.configure(version=2, routes=[slow])
+    slow_route = route("read", "stream", "llm", resumable=True, gapAimMs=400, timeoutMs=9_000)
+    fleet.configure(version=2, routes=[slow_route])
     wait_for(lambda: entry_node.daemon.config_version() == 2)
     fleet.generate(entry_node, "a1", "warm")
     for runner in runners:
--- a/tests/entry/test_watchers.py
+++ b/tests/entry/test_watchers.py
@@ -168,8 +168,9 @@
     """Each of 89 nodes polled the store every 19 s and relied on the others in between.
 
     A server was added, all nodes heard of it and polled at the same moment, and nobody polled again
-    for 19 s. The next server announced at 25.506 s that it leaves; the first node knew it at 38.708
-    s, all others within 0.2 s more, and requests were sent there until then. The bound is 3 s.
+    for 19 s. The next server announced at 25.506 s that it leaves. The first node knew it at
+    38.708 s, all others within 0.2 s more, and requests were sent there until then, where the bound
+    is 3 s.
     """
     fleet = Fleet(count, seed)
     fleet.run(8_000)
--- a/tests/entry/unequal_fleet.py
+++ b/tests/entry/unequal_fleet.py
@@ -116,9 +116,9 @@
         """Stop a node: it releases the lease, and its process ends a while later."""
         member = self.members[name]
         member.is_leaving = True
-        held = member.lease_loop.drop_lease()
-        if held is not None:
-            member.lease_loop.release_row(*held)
+        dropped = member.lease_loop.drop_lease()
+        if dropped is not None:
+            member.lease_loop.release_row(*dropped)
         self._send_heartbeat(member)
         self.scheduled_actions.append((self.clock.now_ms() + SHUTDOWN_MS, "die", name))
 
@@ -168,8 +168,8 @@
 
     def most_cores(self, now_ms: int) -> float:
         """Return the cores of the fastest machine that is ready."""
-        ready = [m.name for m in self.members.values() if m.is_ready(now_ms)]
-        return max((self.cores_by_name[name] for name in ready), default=0.0)
+        ready_names = [m.name for m in self.members.values() if m.is_ready(now_ms)]
+        return max((self.cores_by_name[name] for name in ready_names), default=0.0)
 
     def _record_holder(self, now_ms: int) -> None:
         holder = self.holder()
