--- a/tests/entry/test_pass_through.py
+++ b/tests/entry/test_pass_through.py
@@ -14,7 +14,7 @@
 
 
 @pytest.fixture
-def one(fleet):
+def entry_node(fleet):
     fleet.plain("i-1")
     fleet.plain("i-2")
     return fleet.node()
@@ -24,8 +24,8 @@
     return sum(server.ran[request_id] for server in fleet.servers)
 
 
-def test_a_request_reaches_a_server_unchanged(fleet, one):
-    answer = fleet.ask(one, "/look/a%2Fb//c?x=1", "r1", b"body", X_Custom="v")
+def test_a_request_reaches_a_server_unchanged(fleet, entry_node):
+    answer = fleet.ask(entry_node, "/look/a%2Fb//c?x=1", "r1", b"body", X_Custom="v")
     assert answer.head.status == 200
     assert answer.body.endswith(b"/look/a%2Fb//c?x=1 body")
     assert answer.head.value(b"x-server-signature").startswith(b"sig-")
@@ -35,10 +35,10 @@
     assert 1_500 < int(request.value(b"x-deadline-ms")) <= 2_000
 
 
-def test_headers_that_only_the_system_sets_are_dropped(fleet, one):
+def test_headers_that_only_the_system_sets_are_dropped(fleet, entry_node):
     """A caller sends headers that instruct servers: a hold, a pin, another server's memory."""
     fleet.ask(
-        one,
+        entry_node,
         "/look/x",
         "r1",
         X_Hold="h",
@@ -57,53 +57,53 @@
     assert request.value(b"x-request-id") == b"r1"
 
 
-def test_an_unknown_route_is_404_and_no_configuration_is_503(fleet, one):
-    assert fleet.ask(one, "/none/x", "r1").head.status == 404
-    one.daemon.cluster_state.route_table = None
-    answer = fleet.ask(one, "/look/x", "r2")
+def test_an_unknown_route_is_404_and_no_configuration_is_503(fleet, entry_node):
+    assert fleet.ask(entry_node, "/none/x", "r1").head.status == 404
+    entry_node.daemon.cluster_state.route_table = None
+    answer = fleet.ask(entry_node, "/look/x", "r2")
     assert answer.head.status == 503
     assert answer.head.value(b"retry-after") is not None
 
 
-def test_a_request_without_an_id_is_refused(fleet, one):
-    assert fleet.ask(one, "/look/x", "").head.status == 400
+def test_a_request_without_an_id_is_refused(fleet, entry_node):
+    assert fleet.ask(entry_node, "/look/x", "").head.status == 400
 
 
-def test_a_failed_idempotent_request_is_retried_once_at_another_server(fleet, one):
+def test_a_failed_idempotent_request_is_retried_once_at_another_server(fleet, entry_node):
     for server in fleet.servers:
         server.faults.fail = 1
     first, second = fleet.servers
-    answer = fleet.ask(one, "/look/x", "r1")
+    answer = fleet.ask(entry_node, "/look/x", "r1")
     assert answer.head.status == 500
     assert (first.ran["r1"], second.ran["r1"]) == (1, 1)
-    assert fleet.ask(one, "/look/x", "r2").head.status == 200
+    assert fleet.ask(entry_node, "/look/x", "r2").head.status == 200
 
 
 @pytest.mark.parametrize("fault", ["fail", "lose", "rot", "foreign", "shed_silently"])
-def test_a_non_idempotent_request_is_sent_once(fleet, one, fault):
+def test_a_non_idempotent_request_is_sent_once(fleet, entry_node, fault):
     """A payment runs, and its answer is lost, corrupted, or belongs to another request.
 
     Sent again, it would pay twice. The caller gets an error that does not promise that nothing ran.
     """
     for server in fleet.servers:
         setattr(server.faults, fault, 1)
-    answer = fleet.ask(one, "/write/x", "r1", b"pay")
+    answer = fleet.ask(entry_node, "/write/x", "r1", b"pay")
     assert answer.head.status in (500, 502, 504)
     assert run_count(fleet, "r1") <= 1
     assert sum(len(server.requests) for server in fleet.servers) <= 1
 
 
-def test_a_request_that_was_refused_unrun_is_retried(fleet, one):
+def test_a_request_that_was_refused_unrun_is_retried(fleet, entry_node):
     for server in fleet.servers:
         server.faults.shed = 1
-    answer = fleet.ask(one, "/write/x", "r1", b"pay")
+    answer = fleet.ask(entry_node, "/write/x", "r1", b"pay")
     assert answer.head.status in (200, 503)
     if answer.head.status == 503:
         assert run_count(fleet, "r1") == 0
         assert answer.head.value(b"retry-after") is not None
 
 
-def test_a_request_that_may_have_run_is_never_answered_as_not_run(fleet, one):
+def test_a_request_that_may_have_run_is_never_answered_as_not_run(fleet, entry_node):
     """One server runs the request and loses its answer; the other refuses it unrun each time.
 
     The last result is a refusal, but the request has run: 503 would promise that it has not.
@@ -111,73 +111,77 @@
     first, second = fleet.servers
     first.faults.lose = 9
     second.faults.shed = 100
-    one.daemon.health_tracker.record_result("i-2", False, 10, one.daemon.clock.now_ms())
-    answer = fleet.ask(one, "/look/x", "r1", deadline_ms=500)
+    entry_node.daemon.health_tracker.record_result(
+        "i-2", False, 10, entry_node.daemon.clock.now_ms()
+    )
+    answer = fleet.ask(entry_node, "/look/x", "r1", deadline_ms=500)
     assert 1 <= first.ran["r1"] <= 2
     assert answer.head.status in (502, 504)
 
 
-def test_an_answer_without_the_servers_signature_is_an_error(fleet, one):
+def test_an_answer_without_the_servers_signature_is_an_error(fleet, entry_node):
     for server in fleet.servers:
         server.faults.rot = 5
-    assert fleet.ask(one, "/look/x", "r1").head.status == 502
+    assert fleet.ask(entry_node, "/look/x", "r1").head.status == 502
 
 
-def test_a_server_at_a_reused_address_runs_no_requests_for_the_previous_one(fleet, one):
+def test_a_server_at_a_reused_address_runs_no_requests_for_the_previous_one(fleet, entry_node):
     """A server has ended, and its address now belongs to another one.
 
     The request names the server life that it is meant for; the other server refuses it unrun.
     """
     for server in fleet.servers:
         server.server_id = "i-other"
-    answer = fleet.ask(one, "/write/x", "r1", b"pay")
+    answer = fleet.ask(entry_node, "/write/x", "r1", b"pay")
     assert answer.head.status == 503
     assert run_count(fleet, "r1") == 0
 
 
-def test_a_stopped_server_fails_no_requests(fleet, one):
+def test_a_stopped_server_fails_no_requests(fleet, entry_node):
     fleet.servers[0].stop()
-    statuses = [fleet.ask(one, "/look/x", f"r{number}").head.status for number in range(20)]
+    statuses = [fleet.ask(entry_node, "/look/x", f"r{number}").head.status for number in range(20)]
     assert statuses == [200] * 20
 
 
-def test_a_draining_server_gets_no_new_requests(fleet, one):
+def test_a_draining_server_gets_no_new_requests(fleet, entry_node):
     draining, staying = fleet.servers
     fleet.store.put("servers", "i-1", draining.entry(state="draining"))
     wait_for(
-        lambda: not one.daemon.cluster_state.server_registry.is_accepting_work(ServerLife("i-1"))
+        lambda: not entry_node.daemon.cluster_state.server_registry.is_accepting_work(
+            ServerLife("i-1")
+        )
     )
     for number in range(10):
-        fleet.ask(one, "/look/x", f"r{number}")
+        fleet.ask(entry_node, "/look/x", f"r{number}")
     assert not draining.requests
     assert len(staying.requests) == 10
 
 
-def test_a_request_is_answered_at_the_timeout_of_its_route(fleet, one):
+def test_a_request_is_answered_at_the_timeout_of_its_route(fleet, entry_node):
     """A server works for longer than the route's timeout.
 
     The caller is answered at the timeout. The request may have run, so 503 would be wrong.
     """
     short_route = route("write", "non_idempotent", "plain", attempts=1, timeoutMs=300)
     fleet.configure(version=2, routes=[short_route])
-    wait_for(lambda: one.daemon.cluster_state.route_table.version == 2)
+    wait_for(lambda: entry_node.daemon.cluster_state.route_table.version == 2)
     for server in fleet.servers:
         server.faults.slow_ms = 2_000
     started_s = gevent.get_hub().loop.now()
-    answer = fleet.ask(one, "/write/x", "r1")
+    answer = fleet.ask(entry_node, "/write/x", "r1")
     assert answer.head.status == 504
     assert gevent.get_hub().loop.now() - started_s < 0.6
     wait_for(lambda: sum(server.left for server in fleet.servers) == 1)
 
 
-def test_a_disconnected_caller_ends_the_servers_work(fleet, one):
+def test_a_disconnected_caller_ends_the_servers_work(fleet, entry_node):
     """A caller closes its connection while a server works for it.
 
     The server's connection is closed at once; otherwise the server would work for nobody.
     """
     for server in fleet.servers:
         server.faults.slow_ms = 3_000
-    host, port = one.address.split(":")
+    host, port = entry_node.address.split(":")
     sock = socket.create_connection((host, int(port)))
     sock.sendall(
         b"POST /look/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: r1\r\n"
@@ -186,26 +190,26 @@
     wait_for(lambda: run_count(fleet, "r1"))
     sock.close()
     wait_for(lambda: sum(server.left for server in fleet.servers) == 1, 0.3)
-    assert one.daemon.in_flight.work_by_server == {}
+    assert entry_node.daemon.in_flight.work_by_server == {}
 
 
-def test_an_unusable_configuration_leaves_the_last_good_one_in_force(fleet, one):
+def test_an_unusable_configuration_leaves_the_last_good_one_in_force(fleet, entry_node):
     fleet.store.put("op", "config", {"version": 9, "routes": "none"})
     fleet.store.put("op", "other", {"x": 1})
     fleet.store.rows["servers", "i-bad"] = (fleet.store.version, "%%%")
     fleet.store.put("servers", "i-worse", {"service": 5})
     gevent.sleep(0.2)
-    assert fleet.ask(one, "/look/x", "r1").head.status == 200
-    assert one.daemon.cluster_state.route_table.version == 1
+    assert fleet.ask(entry_node, "/look/x", "r1").head.status == 200
+    assert entry_node.daemon.cluster_state.route_table.version == 1
 
 
-def test_a_lower_configuration_version_never_comes_into_force(fleet, one):
+def test_a_lower_configuration_version_never_comes_into_force(fleet, entry_node):
     fleet.configure(version=5)
-    wait_for(lambda: one.daemon.cluster_state.route_table.version == 5)
+    wait_for(lambda: entry_node.daemon.cluster_state.route_table.version == 5)
     fleet.configure(version=4, routes=[])
     gevent.sleep(0.2)
-    assert one.daemon.cluster_state.route_table.version == 5
-    assert fleet.ask(one, "/look/x", "r1").head.status == 200
+    assert entry_node.daemon.cluster_state.route_table.version == 5
+    assert fleet.ask(entry_node, "/look/x", "r1").head.status == 200
 
 
 def test_with_one_server_left_a_failed_request_is_retried_there(fleet):
@@ -223,7 +227,7 @@
     assert answer.head.value(b"x-server-signature") is not None
 
 
-def test_requests_at_a_hanging_server_are_retried_at_another(fleet, one):
+def test_requests_at_a_hanging_server_are_retried_at_another(fleet, entry_node):
     """One of two servers accepts requests and never answers; its recorded health is good.
 
     A request that may run twice is retried at the other one well before its deadline, and new
@@ -231,25 +235,25 @@
     """
     hanging, good = fleet.servers
     for _ in range(9):
-        one.daemon.health_tracker.record_result(
-            ServerLife("i-1"), True, 1, one.daemon.clock.now_ms()
+        entry_node.daemon.health_tracker.record_result(
+            ServerLife("i-1"), True, 1, entry_node.daemon.clock.now_ms()
         )
     hanging.faults.slow_ms = 30_000
     started_s = gevent.get_hub().loop.now()
-    answers = [fleet.ask(one, "/look/x", f"r{number}") for number in range(12)]
+    answers = [fleet.ask(entry_node, "/look/x", f"r{number}") for number in range(12)]
     assert [answer.head.status for answer in answers] == [200] * 12
     assert gevent.get_hub().loop.now() - started_s < 3
     assert sum(good.ran[f"r{number}"] for number in range(12)) == 12
 
 
-def test_disconnected_callers_do_not_count_as_server_failures(fleet, one):
+def test_disconnected_callers_do_not_count_as_server_failures(fleet, entry_node):
     """Callers disconnect after a moment while a server works normally.
 
     Counted as failures, these would take work away from a healthy server.
     """
     for server in fleet.servers:
         server.faults.slow_ms = 2_000
-    host, port = one.address.split(":")
+    host, port = entry_node.address.split(":")
     for number in range(5):
         sock = socket.create_connection((host, int(port)))
         sock.sendall(
@@ -259,9 +263,9 @@
         wait_for(lambda number=number: run_count(fleet, f"r{number}"))
         sock.close()
     wait_for(lambda: sum(server.left for server in fleet.servers) == 5, 1.0)
-    now_ms = one.daemon.clock.now_ms()
+    now_ms = entry_node.daemon.clock.now_ms()
     failure_shares = [
-        one.daemon.health_tracker.failure_share(f"i-{number}", now_ms) for number in (1, 2)
+        entry_node.daemon.health_tracker.failure_share(f"i-{number}", now_ms) for number in (1, 2)
     ]
     assert failure_shares == [0.0, 0.0]
 
