--- a/measure/bounds.py
+++ b/measure/bounds.py
@@ -11,7 +11,14 @@
 from typing import Final
 
 from measure.output import show
-from tests.entry.silent_store import Fleet, Node, carded, configured, left, named
+from tests.entry.silent_store import (
+    Fleet,
+    Node,
+    has_adapter_version,
+    has_configuration,
+    has_node_record,
+    has_stopped_using,
+)
 
 DRAIN_MS: Final = 2_000
 SETTLED_MS: Final = 12_000
@@ -24,33 +31,35 @@
 def settled(count: int, seed: int) -> Fleet:
     """Return a fleet that has found itself."""
     fleet = Fleet(count, DRAIN_MS, seed)
-    fleet.lost = LOST
+    fleet.loss_share = LOST
     fleet.run(SETTLED_MS + seed * 137)
     return fleet
 
 
 def _leave(fleet: Fleet) -> int:
-    assert fleet.leave("i-1")
-    return fleet.last_after_ms(left("i-1"), MOST_MS)
+    assert fleet.drain("i-1")
+    return fleet.until_all_know_ms(has_stopped_using("i-1"), MOST_MS)
 
 
 def calm(fleet: Fleet) -> Iterator[tuple[str, int]]:
     """Measure without any trouble."""
     yield "leave", _leave(fleet)
     assert fleet.configure()
-    yield "configuration", fleet.last_after_ms(configured(fleet.config_version), MOST_MS)
-    assert fleet.name_version(2)
-    yield "version", fleet.last_after_ms(named(2), MOST_MS)
+    yield "configuration", fleet.until_all_know_ms(has_configuration(fleet.config_version), MOST_MS)
+    assert fleet.publish_version(2)
+    yield "version", fleet.until_all_know_ms(has_adapter_version(2), MOST_MS)
     fleet.start("i-9")
-    yield "a server's birth", fleet.last_after_ms(knows("i-9"), MOST_MS)
-    assert fleet.add_card("n-new")
-    yield "a new node's card, by the store alone", fleet.last_after_ms(carded("n-new"), MOST_MS)
+    yield "a server's birth", fleet.until_all_know_ms(knows("i-9"), MOST_MS)
+    assert fleet.add_node_record("n-new")
+    yield "a new node's card, by the store alone", fleet.until_all_know_ms(
+        has_node_record("n-new"), MOST_MS
+    )
 
 
 def gone(fleet: Fleet) -> Iterator[tuple[str, int]]:
     """Measure an entry that is removed without a word."""
     fleet.remove("i-1")
-    yield "entry removed", fleet.last_after_ms(left("i-1"), MOST_MS)
+    yield "entry removed", fleet.until_all_know_ms(has_stopped_using("i-1"), MOST_MS)
 
 
 def poked(fleet: Fleet) -> Iterator[tuple[str, int]]:
@@ -66,19 +75,19 @@
     fleet.run(SILENCE_MS + CALM_MS)
     yield "leave, 3 s after a silence", _leave(fleet)
     assert fleet.configure()
-    after_ms = fleet.last_after_ms(configured(fleet.config_version), MOST_MS)
+    after_ms = fleet.until_all_know_ms(has_configuration(fleet.config_version), MOST_MS)
     yield "configuration, after a silence", after_ms
 
 
 def untold(fleet: Fleet) -> Iterator[tuple[str, int]]:
     """Measure at nodes that hear nobody any more."""
-    fleet.mute = {node.card.name for node in fleet.nodes[len(fleet.nodes) // 2 :]}
+    fleet.nodes_not_receiving = {node.record.name for node in fleet.nodes[len(fleet.nodes) // 2 :]}
     yield "leave, half of the nodes hear nobody", _leave(fleet)
 
 
 def half_told(fleet: Fleet) -> Iterator[tuple[str, int]]:
     """Measure with half of all reports lost."""
-    fleet.lost = 0.5
+    fleet.loss_share = 0.5
     yield "leave, half of all reports lost", _leave(fleet)
 
 
@@ -91,7 +100,7 @@
 
 def knows(server_id: str) -> Callable[[Node], bool]:
     """Return what tells whether a node knows a server."""
-    return lambda node: node.beliefs.server_registry.life_of(server_id) is not None
+    return lambda node: node.cluster_state.server_registry.life_of(server_id) is not None
 
 
 CASES: Final = (calm, gone, poked, silent, untold, half_told, joined)
--- a/tests/entry/silent_store.py
+++ b/tests/entry/silent_store.py
@@ -171,9 +171,9 @@
 class Node:
     """A node that follows the store and sends heartbeats to its peers."""
 
-    card: NodeRecord
+    record: NodeRecord
     tasks: VirtualTasks
-    beliefs: ClusterState
+    cluster_state: ClusterState
     view: FleetView
     rounds: HeartbeatRounds
     store_watches: StoreWatches | None = None
@@ -184,8 +184,8 @@
 class Fleet:
     """Nodes that share one store, in virtual time.
 
-    :ivar mute: names of nodes that receive no heartbeats.
-    :ivar lost: share of heartbeats that are lost.
+    :ivar nodes_not_receiving: names of nodes that receive no heartbeats.
+    :ivar loss_share: share of heartbeats that are lost.
     """
 
     def __init__(
@@ -199,15 +199,15 @@
         self.draining_servers: set[str] = set()
         self.removed_servers: set[str] = set()
         self.config_version = 0
-        self.mute: set[str] = set()
-        self.lost = LOSS_SHARE
+        self.nodes_not_receiving: set[str] = set()
+        self.loss_share = LOSS_SHARE
         self.broadcasts = 0
         for server_id in ("i-1", "i-2", "i-3"):
             self._write_entry_loop(server_id)
         self.configure()
-        self.name_version(1)
+        self.publish_version(1)
         self.nodes = [self._node(f"n{number}") for number in range(count)]
-        self.node_by_name = {node.card.name: node for node in self.nodes}
+        self.node_by_name = {node.record.name: node for node in self.nodes}
 
     def run(self, for_ms: int) -> None:
         """Advance the time."""
@@ -220,7 +220,7 @@
         self.config_version = version if confirmed else self.config_version
         return confirmed
 
-    def name_version(self, version: int) -> bool:
+    def publish_version(self, version: int) -> bool:
         """Publish a version of the adapter; return whether the write is confirmed."""
         value = {"model": MODEL, "adapter": "a1", "version": version}
         return self.store.put(OPERATOR, f"version/{MODEL}.a1", value)
@@ -234,17 +234,17 @@
         self.removed_servers.add(server_id)
         self.store.remove(SERVERS, server_id)
 
-    def leave(self, server_id: str) -> bool:
+    def drain(self, server_id: str) -> bool:
         """Mark a server as draining; return whether the write is confirmed."""
         self.draining_servers.add(server_id)
         return self._write_entry(server_id)
 
-    def add_card(self, name: str) -> bool:
+    def add_node_record(self, name: str) -> bool:
         """Write the node record of a new node; return whether the write is confirmed."""
         record = NodeRecord(name, name, "dc", "1:1", "1:2", "1:3")
         return self.store.put(OWN, NODE_RECORD_PREFIX + name, encode_node_record(record))
 
-    def last_after_ms(self, knows: Callable[[Node], bool], max_ms: int) -> int:
+    def until_all_know_ms(self, knows: Callable[[Node], bool], max_ms: int) -> int:
         """Return how many ms it takes until every node knows a change that is confirmed now.
 
         :param knows: tells whether a node knows the change.
@@ -285,7 +285,7 @@
         node = Node(record, tasks, ClusterState(clock), FleetView(name), HeartbeatRounds(name))
         store_follower = StoreFollower(
             RowDecoders(),
-            node.beliefs,
+            node.cluster_state,
             node.view,
             clock,
             lambda _: None,
@@ -307,12 +307,12 @@
         """Start another node."""
         node = self._node(f"n{len(self.nodes)}")
         self.nodes.append(node)
-        self.node_by_name[node.card.name] = node
+        self.node_by_name[node.record.name] = node
         return node
 
     def _maintenance_loop(self, node: Node) -> None:
         node.store_watches.servers.look_again()
-        node.beliefs.server_registry.pop_removed(self.world.now_ms())
+        node.cluster_state.server_registry.pop_removed(self.world.now_ms())
         self.world.later(MAINTENANCE_INTERVAL_MS, lambda: self._maintenance_loop(node))
 
     def _heartbeat_loop(self, node: Node) -> None:
@@ -324,20 +324,20 @@
             return
         node.sequence += 1
         heartbeat = Heartbeat(
-            node.card,
+            node.record,
             node.sequence,
             True,
             False,
             1,
             node.store_watches.reaches_store(),
-            departed_servers=node.beliefs.recently_departed_servers(),
-            added_servers=node.beliefs.recently_added_servers(),
-            versions=node.beliefs.recent_versions(),
+            departed_servers=node.cluster_state.recently_departed_servers(),
+            added_servers=node.cluster_state.recently_added_servers(),
+            versions=node.cluster_state.recent_versions(),
         )
-        peers = [name for name in self.node_by_name if name != node.card.name]
+        peers = [name for name in self.node_by_name if name != node.record.name]
         self.broadcasts += to_all
         for name in peers if to_all else node.rounds.next_peers(peers, (), False):
-            if name not in self.mute and self.rng.random() >= self.lost:
+            if name not in self.nodes_not_receiving and self.rng.random() >= self.loss_share:
                 self.world.later(
                     2, lambda peer=self.node_by_name[name]: self._receive(peer, heartbeat)
                 )
@@ -346,29 +346,32 @@
         if not node.view.receive(heartbeat, self.world.now_ms()):
             return
         node.store_follower.handle_heartbeat(heartbeat)
-        if node.beliefs.handle_heartbeat(heartbeat):
+        if node.cluster_state.handle_heartbeat(heartbeat):
             node.store_watches.servers.poke()
 
 
-def left(server_id: str) -> Callable[[Node], bool]:
+def has_stopped_using(server_id: str) -> Callable[[Node], bool]:
     """Return a function that tells whether a node sends nothing more to a server."""
     life = ServerLife(server_id)
-    return lambda node: not node.beliefs.server_registry.is_accepting_work(life)
+    return lambda node: not node.cluster_state.server_registry.is_accepting_work(life)
 
 
-def configured(version: int) -> Callable[[Node], bool]:
+def has_configuration(version: int) -> Callable[[Node], bool]:
     """Return a function that tells whether a configuration is in force at a node."""
     return (
-        lambda node: node.beliefs.route_table is not None
-        and node.beliefs.route_table.version >= version
+        lambda node: node.cluster_state.route_table is not None
+        and node.cluster_state.route_table.version >= version
     )
 
 
-def named(version: int) -> Callable[[Node], bool]:
+def has_adapter_version(version: int) -> Callable[[Node], bool]:
     """Return a function that tells whether a node knows a version of the adapter."""
-    return lambda node: node.beliefs.version_by_adapter.get(AdapterRef(ADAPTER, 1).name) == version
+    return (
+        lambda node: node.cluster_state.version_by_adapter.get(AdapterRef(ADAPTER, 1).name)
+        == version
+    )
 
 
-def carded(name: str) -> Callable[[Node], bool]:
+def has_node_record(name: str) -> Callable[[Node], bool]:
     """Return a function that tells whether a node has the node record of another one."""
     return lambda node: name in node.view.record_by_name
--- a/tests/entry/test_silent_store.py
+++ b/tests/entry/test_silent_store.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from tests.entry.silent_store import Fleet, carded, configured, left, named
+from tests.entry.silent_store import (
+    Fleet,
+    has_adapter_version,
+    has_configuration,
+    has_node_record,
+    has_stopped_using,
+)
 
 DRAIN_MS = 2_000
 CONFIG_MS = 2_000
@@ -31,8 +37,8 @@
     fleet.run(5_000 + phase_ms)
     fleet.store.fall_silent(6_000)
     fleet.run(6_000 + RECOVERY_MS)
-    assert fleet.leave("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+    assert fleet.drain("i-1")
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
 
 
 @pytest.mark.parametrize("silence_ms", [700, 1_500, 3_000, 9_000, 20_000, 25_000])
@@ -43,8 +49,8 @@
         fleet.run(5_000)
         fleet.store.fall_silent(silence_ms)
         fleet.run(silence_ms + RECOVERY_MS)
-        assert fleet.leave(server_id)
-        assert fleet.last_after_ms(left(server_id), 30_000) < DRAIN_MS
+        assert fleet.drain(server_id)
+        assert fleet.until_all_know_ms(has_stopped_using(server_id), 30_000) < DRAIN_MS
 
 
 @pytest.mark.parametrize("drops_waiting", [False, True])
@@ -62,9 +68,9 @@
     fleet.world.later(2, lambda: fleet.store.fall_silent(6_000))
     fleet.run(6_000 + RECOVERY_MS)
     assert fleet.configure()
-    assert fleet.last_after_ms(configured(fleet.config_version), 30_000) < CONFIG_MS
-    assert fleet.name_version(2)
-    assert fleet.last_after_ms(named(2), 30_000) < VERSION_MS
+    assert fleet.until_all_know_ms(has_configuration(fleet.config_version), 30_000) < CONFIG_MS
+    assert fleet.publish_version(2)
+    assert fleet.until_all_know_ms(has_adapter_version(2), 30_000) < VERSION_MS
 
 
 @pytest.mark.parametrize("answers_to_lose", range(1, 8))
@@ -74,8 +80,8 @@
     fleet.run(5_000)
     fleet.store.answers_to_lose = answers_to_lose
     fleet.run(300)
-    assert fleet.leave("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+    assert fleet.drain("i-1")
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
 
 
 @pytest.mark.parametrize("answers_to_lose", [0, 7])
@@ -89,7 +95,7 @@
     fleet.store.answers_to_lose = answers_to_lose
     fleet.run(1_300)
     fleet.remove("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
 
 
 @pytest.mark.parametrize("silence_ms", [1_500, 3_000, 9_000])
@@ -101,7 +107,7 @@
         fleet.store.fall_silent(silence_ms)
         fleet.run(silence_ms + RECOVERY_MS)
         fleet.remove("i-1")
-        assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+        assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
 
 
 @pytest.mark.parametrize("answer_delay_ms", [240, 400, 800])
@@ -111,8 +117,8 @@
     fleet.run(5_000)
     fleet.store.answer_delay_ms = answer_delay_ms
     fleet.run(10_000)
-    assert fleet.leave("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < 2 * DRAIN_MS
+    assert fleet.drain("i-1")
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < 2 * DRAIN_MS
 
 
 @pytest.mark.parametrize("silence_ms", [1_500, 6_000])
@@ -122,8 +128,8 @@
     fleet.run(7_000)
     fleet.store.fall_silent(silence_ms)
     fleet.run(silence_ms + RECOVERY_MS)
-    assert fleet.add_card("n9")
-    assert fleet.last_after_ms(carded("n9"), 30_000) < LEASE_MS
+    assert fleet.add_node_record("n9")
+    assert fleet.until_all_know_ms(has_node_record("n9"), 30_000) < LEASE_MS
 
 
 def test_nodes_that_poll_seldom_learn_of_a_silence_from_the_server_watchers():
@@ -133,7 +139,7 @@
     fleet.store.fall_silent(2_500)
     fleet.run(2_500 + RECOVERY_MS)
     assert fleet.configure()
-    assert fleet.last_after_ms(configured(fleet.config_version), 30_000) < CONFIG_MS
+    assert fleet.until_all_know_ms(has_configuration(fleet.config_version), 30_000) < CONFIG_MS
 
 
 @pytest.mark.parametrize("after_ms", [20, 400, 1_200])
@@ -150,7 +156,7 @@
         fleet.run(silence_ms + after_ms)
         fleet.remove("i-1")
         max_ms = max(DRAIN_MS, RECOVERY_MS - after_ms)
-        assert fleet.last_after_ms(left("i-1"), 30_000) <= max_ms, phase_ms
+        assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) <= max_ms, phase_ms
 
 
 @pytest.mark.parametrize("silence_ms", [1_500, 3_000, 6_000])
@@ -169,4 +175,4 @@
         fleet.start("i-1")
         for _ in range(30):
             fleet.run(100)
-            assert not any(left("i-1")(node) for node in fleet.nodes), phase_ms
+            assert not any(has_stopped_using("i-1")(node) for node in fleet.nodes), phase_ms
--- a/tests/entry/test_who_tells.py
+++ b/tests/entry/test_who_tells.py
@@ -5,7 +5,7 @@
 import pytest
 
 from monsoonflow.entry.store_follower import SERVER_WATCHERS
-from tests.entry.silent_store import Fleet, left
+from tests.entry.silent_store import Fleet, has_stopped_using
 
 DRAIN_MS = 2_000
 
@@ -19,9 +19,9 @@
     fleet = Fleet(90, DRAIN_MS)
     fleet.run(12_000)
     fleet.broadcasts = 0
-    assert fleet.leave("i-1")
+    assert fleet.drain("i-1")
     fleet.run(8_000)
-    assert all(left("i-1")(node) for node in fleet.nodes)
+    assert all(has_stopped_using("i-1")(node) for node in fleet.nodes)
     assert 1 <= fleet.broadcasts <= SERVER_WATCHERS
 
 
@@ -33,10 +33,12 @@
     """
     fleet = Fleet(90, DRAIN_MS)
     fleet.run(12_000)
-    fleet.mute = {node.card.name for node in fleet.nodes if polls_as_last_resort(node)}
+    fleet.nodes_not_receiving = {
+        node.record.name for node in fleet.nodes if polls_as_last_resort(node)
+    }
     fleet.run(after_ms)
-    assert fleet.leave("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+    assert fleet.drain("i-1")
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
 
 
 def polls_as_last_resort(node) -> bool:
@@ -48,9 +50,9 @@
 def test_a_draining_server_is_known_in_time_though_half_of_all_heartbeats_are_lost(seed: int):
     fleet = Fleet(90, DRAIN_MS, seed)
     fleet.run(12_000)
-    fleet.lost = 0.5
-    assert fleet.leave("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+    fleet.loss_share = 0.5
+    assert fleet.drain("i-1")
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
 
 
 @pytest.mark.parametrize("after_ms", [100, 500, 1_500])
@@ -59,5 +61,5 @@
     fleet.run(12_000)
     fleet.add_node()
     fleet.run(after_ms)
-    assert fleet.leave("i-1")
-    assert fleet.last_after_ms(left("i-1"), 30_000) < DRAIN_MS
+    assert fleet.drain("i-1")
+    assert fleet.until_all_know_ms(has_stopped_using("i-1"), 30_000) < DRAIN_MS
