--- a/tests/entry/test_duty_without_fences.py
+++ b/tests/entry/test_duty_without_fences.py
@@ -136,7 +136,7 @@
         self.nodes[name] = node
 
     def read(self, *names: str) -> None:
-        """Let nodes read the lease row, as their store watch does now and then."""
+        """Read the lease row at these nodes, as their store watches do now and then."""
         for name in names:
             self.nodes[name].lease_loop.handle_row(self.table.row)
 
@@ -204,7 +204,7 @@
 
 
 def test_a_holder_continues_without_the_store_for_a_bounded_time(fleet):
-    """A node that is no named candidate may claim in the end: by then the holder has stopped."""
+    """A node that is not a named candidate may claim later, once the holder has stopped."""
     lose_store(fleet)
     fleet.run(LEASE_MS + UNNAMED_CLAIM_DELAY_MS)
     assert fleet.holder() is None
--- a/tests/entry/test_silent_store.py
+++ b/tests/entry/test_silent_store.py
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("answer_delay_ms", [240, 400, 800])
 def test_answers_of_a_store_that_has_become_slow_are_still_received(answer_delay_ms: int):
-    """With the timeout that suits a fast store, every answer would arrive too late, for ever."""
+    """With a timeout that suits a fast store, every answer of a slow one would arrive too late."""
     fleet = Fleet(7, DRAIN_MS)
     fleet.run(5_000)
     fleet.store.answer_delay_ms = answer_delay_ms
