--- a/monsoonflow/entry/cell_leases.py
+++ b/monsoonflow/entry/cell_leases.py
@@ -262,7 +262,7 @@
             for lease in list(self._lease_by_cell.values()):
                 watches = self._daemon.store_watches
                 lease.lease_loop.loaded = lease.lease_loop.loaded or (
-                    watches is not None and watches.own.loaded
+                    watches is not None and watches.own.is_loaded
                 )
                 lease.lease_loop.store_reachable = watches is not None and watches.reaches_store()
                 lease.lease_loop.step()
--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -36,7 +36,7 @@
 from ..routing.health import HealthTracker
 from ..routing.in_flight import InFlight
 from ..storage.models import ChangedRow, ChangeFeed, RawTable
-from ..storage.settling import SettlingTable
+from ..storage.retrying_table import RetryingTable
 from ..transport.client import Pools
 from ..transport.models import MessageLimits
 from ..transport.server import Handler, Port
@@ -140,7 +140,7 @@
         self.shared_retries = SharedRetryBudget(
             self.retry_budget, self.view, self.clock, lambda: self.activity.active
         )
-        self.store_table = SettlingTable(integration.raw_table(), self.tasks)
+        self.store_table = RetryingTable(integration.raw_table(), self.tasks)
         self.gossip = Gossip(
             settings.report_address,
             self.view,
@@ -255,7 +255,7 @@
             not self.is_leaving
             and self.cluster_state.route_table is not None
             and self.store_watches is not None
-            and (self.store_watches.servers.loaded or self.peer_client.has_snapshot)
+            and (self.store_watches.servers.is_loaded or self.peer_client.has_snapshot)
         )
 
     def heartbeat(self) -> Heartbeat:
@@ -295,7 +295,7 @@
 
     def _refresh_servers(self) -> None:
         if self.store_watches is not None:
-            self.store_watches.servers.poke()
+            self.store_watches.servers.request_soon()
 
     def _handle_own_row(self, row: ChangedRow) -> None:
         if not self.quarantine_manager.apply_row(row):
@@ -307,7 +307,7 @@
             heartbeat.name, heartbeat.crashes, heartbeat.quarantined_fingerprints
         )
         if self.cluster_state.handle_heartbeat(heartbeat) and self.store_watches is not None:
-            self.store_watches.servers.poke()
+            self.store_watches.servers.request_soon()
 
     def _open_feed(self) -> ChangeFeed:
         return self._integration.feed()
@@ -473,7 +473,7 @@
             # The settings file may change without a signal.
             self.reload()
             self.connection_pools.sweep()
-            self.store_watches.servers.look_again()
+            self.store_watches.servers.end_overlong_pause()
             for life in self.cluster_state.server_registry.pop_removed(self.clock.now_ms()):
                 self.cell_leases.residency.forget(life)
                 self.connection_pools.forget(life)
--- a/monsoonflow/entry/store_follower.py
+++ b/monsoonflow/entry/store_follower.py
@@ -23,9 +23,9 @@
 from ..helpers.strict import read
 from ..logs import events, log
 from ..routing.routes import RouteTable
+from ..storage.answer_timeout import AnswerTimeout
 from ..storage.models import ChangedRow, ChangeFeed
-from ..storage.patience import Patience
-from ..storage.watch import LEAST_PATIENCE_MS, SILENT_CYCLE_MS, CollectionWatch
+from ..storage.watch import MIN_ANSWER_TIMEOUT_MS, UNRESPONSIVE_REQUEST_INTERVAL_MS, CollectionWatch
 from .cluster_state import LONG_AGO_MS, ClusterState
 
 _LOGGER = logging.getLogger(__name__)
@@ -135,7 +135,7 @@
 
     def is_loaded(self) -> bool:
         """Return whether all rows of the operator and the servers have been read once."""
-        return self.operator.loaded and self.servers.loaded
+        return self.operator.is_loaded and self.servers.is_loaded
 
     def all(self) -> tuple[CollectionWatch, ...]:
         """Return all watches."""
@@ -148,7 +148,7 @@
         has found unresponsive since.
         """
         lost_ms = [w.lost_since_ms for w in self.all() if w.lost_since_ms is not None]
-        return not lost_ms or any(watch.answered_since(min(lost_ms)) for watch in self.all())
+        return not lost_ms or any(watch.has_answered_since(min(lost_ms)) for watch in self.all())
 
     def restart_waiting_requests(self) -> None:
         """Restart all requests that wait for changes: the store may have been unresponsive since.
@@ -158,7 +158,7 @@
         end.
         """
         for watch in self.all():
-            watch.doubt()
+            watch.restart_waiting_request()
 
 
 class StoreFollower:
@@ -219,9 +219,11 @@
                 self._clock,
                 self._handle_operator_row,
                 self._notify_store_answers,
-                patience=Patience(LEAST_PATIENCE_MS, SILENT_CYCLE_MS),
+                answer_timeout=AnswerTimeout(
+                    MIN_ANSWER_TIMEOUT_MS, UNRESPONSIVE_REQUEST_INTERVAL_MS
+                ),
                 on_lost=self._restart_waiting_requests,
-                phase_ms=SILENT_CYCLE_MS // 3,
+                first_retry_delay_ms=UNRESPONSIVE_REQUEST_INTERVAL_MS // 3,
             ),
             CollectionWatch(
                 open_feed(),
@@ -235,7 +237,7 @@
                 # unresponsive would keep all nodes from noticing leaving servers for 16 s after its
                 # return.
                 int(drain_ms * SERVERS_WAIT_SHARE),
-                Patience(
+                AnswerTimeout(
                     int(drain_ms * SERVERS_MIN_ANSWER_TIMEOUT_SHARE),
                     int(drain_ms * SERVERS_MAX_ANSWER_TIMEOUT_SHARE),
                 ),
@@ -249,9 +251,11 @@
                 self._handle_own_row,
                 self._notify_store_answers,
                 lambda: self._shared_pause_ms(OWN_PAUSE_MS),
-                patience=Patience(LEAST_PATIENCE_MS, SILENT_CYCLE_MS),
+                answer_timeout=AnswerTimeout(
+                    MIN_ANSWER_TIMEOUT_MS, UNRESPONSIVE_REQUEST_INTERVAL_MS
+                ),
                 on_lost=self._restart_waiting_requests,
-                phase_ms=SILENT_CYCLE_MS * 2 // 3,
+                first_retry_delay_ms=UNRESPONSIVE_REQUEST_INTERVAL_MS * 2 // 3,
             ),
         )
         self._store_watches = watches
@@ -265,7 +269,7 @@
 
     def _notify_store_answers(self) -> None:
         for watch in self._store_watches.all():
-            watch.answers_again()
+            watch.resume_after_outage()
 
     def handle_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Handle a heartbeat: if the peer has lost the store, this node restarts its requests.
@@ -386,7 +390,7 @@
     def _published_after_ms(self) -> int:
         """Return when the version that is being applied was published, at the earliest."""
         at_ms = (
-            self._store_watches.operator.changed_after_ms()
+            self._store_watches.operator.earliest_change_ms()
             if self._store_watches is not None
             else None
         )
@@ -416,9 +420,9 @@
             self._on_change()
 
     def _handle_store_return(self) -> None:
-        unanswered_ms = [watch.unanswered_ms() for watch in self._store_watches.all()]
+        unanswered_ms = [watch.last_unanswered_ms() for watch in self._store_watches.all()]
         self._notify_store_answers()
-        if self._store_watches.servers.out_ms < MIN_OUTAGE_MS:
+        if self._store_watches.servers.last_outage_ms < MIN_OUTAGE_MS:
             return
         until_ms = max(ms for ms in unanswered_ms if ms is not None) + MISSING_GRACE_MS
         self._cluster_state.server_registry.keep_missing_until(until_ms)
--- a/monsoonflow/node/context.py
+++ b/monsoonflow/node/context.py
@@ -28,7 +28,7 @@
 from ..runner.models import LoadWeights
 from ..serving.core import ServingCore
 from ..storage.models import ObjectStore, Table
-from ..storage.vms import VmListReader
+from ..storage.vm_list import VmListReader
 from .const import FAILURES_TO_LEAVE, MAX_KEYS, RETRY_RESERVE, RETRY_SHARE
 from .metrics import Metrics
 from .relay import Relay
--- a/monsoonflow/node/daemon.py
+++ b/monsoonflow/node/daemon.py
@@ -26,10 +26,10 @@
 from ..helpers.tls import TlsContexts
 from ..rpc.client import ControlClient
 from ..rpc.server import serve
-from ..storage.objects import HttpObjectStore
-from ..storage.settling import SettlingTable
+from ..storage.object_store import HttpObjectStore
+from ..storage.retrying_table import RetryingTable
 from ..storage.table import HttpTable
-from ..storage.vms import HttpVmList
+from ..storage.vm_list import HttpVmList
 from ..transport.models import MessageLimits
 from ..transport.server import Port
 from ..transport.wsgi import start_server
@@ -67,7 +67,7 @@
         self._broken = False
         silence_ms = settings["silence-ms"]
         edges = Edges(
-            table=SettlingTable(HttpTable(settings["table"]), tasks),
+            table=RetryingTable(HttpTable(settings["table"]), tasks),
             objects=HttpObjectStore(settings["objects"]),
             vms=HttpVmList(settings["vms"]),
             control=ControlClient(settings["node-token"], credentials),
--- a/monsoonflow/platform/store.py
+++ b/monsoonflow/platform/store.py
@@ -106,17 +106,21 @@
         return self._read_table(collection)
 
     def changes(
-        self, collection: str, after: int, wait_ms: int, answer_ms: int = CALL_TIMEOUT_MS
+        self, collection: str, after: int, wait_ms: int, answer_timeout_ms: int = CALL_TIMEOUT_MS
     ) -> Changes | HistoryLost | Unavailable:
         """Return the changes of a table after a version, as soon as there are any.
 
         :param wait_ms: how long the store waits for changes.
-        :param answer_ms: how much longer its answer may take.
+        :param answer_timeout_ms: how much longer its answer may take.
         """
         self._is_feed_cancelled = False
         query = urlencode({"table": collection, "after": after, "waitMs": wait_ms})
         answer = self._call(
-            "GET", f"/v1/rows-feed?{query}", b"", wait_ms + answer_ms, self._set_feed_connection
+            "GET",
+            f"/v1/rows-feed?{query}",
+            b"",
+            wait_ms + answer_timeout_ms,
+            self._set_feed_connection,
         )
         self._feed_connection = None
         if isinstance(answer, Lost):
@@ -131,7 +135,7 @@
         ]
         return Changes(tuple(rows), int(data["rowVersion"]))
 
-    def hang_up(self) -> None:
+    def cancel_request(self) -> None:
         """Cancel the request for changes in progress, even if it still has no connection."""
         self._is_feed_cancelled = True
         if self._feed_connection is not None:
--- a/monsoonflow/storage/const.py
+++ b/monsoonflow/storage/const.py
@@ -5,5 +5,5 @@
 from typing import Final
 
 CALL_TIMEOUT_MS: Final = 1_500
-COMMIT_TRIES: Final = 3
-RETRY_PAUSE_MS: Final = 50
+MAX_COMMIT_ATTEMPTS: Final = 3
+COMMIT_RETRY_PAUSE_MS: Final = 50
--- a/monsoonflow/storage/models.py
+++ b/monsoonflow/storage/models.py
@@ -134,12 +134,12 @@
         """Return all rows of one moment."""
 
     def changes(
-        self, collection: str, after: int, wait_ms: int, answer_ms: int
+        self, collection: str, after: int, wait_ms: int, answer_timeout_ms: int
     ) -> Changes | HistoryLost | Unavailable:
         """Return what changed after a version, as soon as there is something.
 
-        :param answer_ms: how much longer than it may wait for changes the answer may take.
+        :param answer_timeout_ms: how much longer than it may wait for changes the answer may take.
         """
 
-    def hang_up(self) -> None:
+    def cancel_request(self) -> None:
         """Give the question in progress up; it ends as if it had got no answer."""
--- a/monsoonflow/storage/settling.py
+++ b/monsoonflow/storage/retrying_table.py
@@ -6,7 +6,7 @@
 
 from ..core.tasks import Tasks
 from ..logs import events, log
-from .const import COMMIT_TRIES, RETRY_PAUSE_MS
+from .const import COMMIT_RETRY_PAUSE_MS, MAX_COMMIT_ATTEMPTS
 from .models import (
     CommitResult,
     Committed,
@@ -20,7 +20,7 @@
 _LOGGER = logging.getLogger(__name__)
 
 
-class SettlingTable:
+class RetryingTable:
     """A table whose commits are sent again, a bounded number of times, until they are clear."""
 
     def __init__(self, raw: RawTable, tasks: Tasks) -> None:
@@ -43,20 +43,20 @@
         bound to. A conflict after an unclear try is settled by the operation id in the row.
         """
         unclear = False
-        for _ in range(COMMIT_TRIES):
+        for _ in range(MAX_COMMIT_ATTEMPTS):
             result = self._raw.commit_once(transaction)
             match result:
                 case Committed():
                     return result
                 case Conflict():
-                    return self._settle(transaction) if unclear else result
+                    return self._resolve_conflict(transaction) if unclear else result
                 case Unavailable(ambiguous=ambiguous):
                     unclear = unclear or ambiguous
-            self._tasks.sleep(RETRY_PAUSE_MS)
+            self._tasks.sleep(COMMIT_RETRY_PAUSE_MS)
         log(_LOGGER, events.CommitUnclear(operation=transaction.operation_id))
         return Unavailable("no answer", ambiguous=unclear)
 
-    def _settle(self, transaction: Transaction) -> CommitResult:
+    def _resolve_conflict(self, transaction: Transaction) -> CommitResult:
         for key in transaction.puts:
             row = self.get(key)
             if isinstance(row, Unavailable):
--- a/tests/entry/silent_store.py
+++ b/tests/entry/silent_store.py
@@ -143,12 +143,12 @@
         return self._request(collection, 0, 0, 1_500)
 
     def changes(
-        self, collection: str, after: int, wait_ms: int, answer_ms: int = 1_500
+        self, collection: str, after: int, wait_ms: int, answer_timeout_ms: int = 1_500
     ) -> Changes | Unavailable:
         """Return the rows that changed, as soon as there are any."""
-        return self._request(collection, after, wait_ms, wait_ms + answer_ms)
+        return self._request(collection, after, wait_ms, wait_ms + answer_timeout_ms)
 
-    def hang_up(self) -> None:
+    def cancel_request(self) -> None:
         """Abandon the request in progress."""
         if self._request_done is not None:
             self._request_done.set()
@@ -311,7 +311,7 @@
         return node
 
     def _maintenance_loop(self, node: Node) -> None:
-        node.store_watches.servers.look_again()
+        node.store_watches.servers.end_overlong_pause()
         node.cluster_state.server_registry.pop_removed(self.world.now_ms())
         self.world.later(MAINTENANCE_INTERVAL_MS, lambda: self._maintenance_loop(node))
 
@@ -347,7 +347,7 @@
             return
         node.store_follower.handle_heartbeat(heartbeat)
         if node.cluster_state.handle_heartbeat(heartbeat):
-            node.store_watches.servers.poke()
+            node.store_watches.servers.request_soon()
 
 
 def has_stopped_using(server_id: str) -> Callable[[Node], bool]:
--- a/tests/entry/test_following.py
+++ b/tests/entry/test_following.py
@@ -31,7 +31,7 @@
         """Return no rows."""
         return Changes((), 1)
 
-    def changes(self, collection, after, wait_ms, answer_ms):
+    def changes(self, collection, after, wait_ms, answer_timeout_ms):
         """Return no changes."""
         return Changes((), 1)
 
@@ -74,8 +74,8 @@
 
 
 def pause_ms_of(watch):
-    watch.step()
-    return watch.step()
+    watch.request_once()
+    return watch.request_once()
 
 
 def test_a_node_of_a_small_fleet_polls_at_the_full_rate(view, clock, store_watches):
--- a/tests/entry/test_versions.py
+++ b/tests/entry/test_versions.py
@@ -41,7 +41,7 @@
         return self.all_rows
 
     def changes(
-        self, collection: str, after: int, wait_ms: int, answer_ms: int
+        self, collection: str, after: int, wait_ms: int, answer_timeout_ms: int
     ) -> Changes | HistoryLost | Unavailable:
         """Return the next answer."""
         return self.next_changes
@@ -73,7 +73,7 @@
         RowDecoders(), cluster_state, FleetView("me"), clock, *no_callbacks
     )
     store_watches = store_follower.start(lambda: feed, NoTasks(), 3_000)
-    return Node(clock, feed, cluster_state, store_watches.operator.step)
+    return Node(clock, feed, cluster_state, store_watches.operator.request_once)
 
 
 def test_a_version_read_from_the_feed_counts_from_now(node):
--- a/tests/entry/test_watchers.py
+++ b/tests/entry/test_watchers.py
@@ -16,7 +16,7 @@
 from monsoonflow.fleet.view import FleetView
 from monsoonflow.platform.outside import RowDecoders
 from monsoonflow.storage.models import ChangedRow, Changes
-from monsoonflow.storage.watch import LEAST_PAUSE_MS
+from monsoonflow.storage.watch import MIN_PAUSE_MS
 
 STEP_MS = 50
 DRAIN_MS = 3_000
@@ -47,7 +47,7 @@
         rows = tuple(self.rows.values()) if collection == RowDecoders.server_collection else ()
         return Changes(rows, self.version)
 
-    def changes(self, collection: str, after: int, wait_ms: int, answer_ms: int) -> Changes:
+    def changes(self, collection: str, after: int, wait_ms: int, answer_timeout_ms: int) -> Changes:
         """Return the rows that changed after a version."""
         self.calls += 1
         rows = self.read_all(collection).rows
@@ -129,7 +129,7 @@
                 and peer.view.receive(heartbeat, now_ms)
             )
             if is_new and peer.cluster_state.handle_heartbeat(heartbeat):
-                earliest_poll_ms = max(now_ms, peer.last_poll_ms + LEAST_PAUSE_MS)
+                earliest_poll_ms = max(now_ms, peer.last_poll_ms + MIN_PAUSE_MS)
                 peer.next_poll_ms = min(peer.next_poll_ms, earliest_poll_ms)
 
     def run(self, for_ms: int) -> None:
@@ -146,7 +146,7 @@
                 pause_ms = node.store_watches.servers.pause_ms()
                 if now_ms >= min(node.next_poll_ms, node.last_poll_ms + pause_ms):
                     node.last_poll_ms = now_ms
-                    node.next_poll_ms = now_ms + max(STEP_MS, node.store_watches.servers.step())
+                    node.next_poll_ms = now_ms + max(STEP_MS, node.store_watches.servers.request_once())
 
     def all_know_after_ms(self, life: ServerLife) -> int:
         """Return how many ms it takes until no node would use a server that starts to drain now."""
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -318,7 +318,7 @@
     """A request to an unresponsive store would wait for 20 s, even if the store has recovered."""
     client = PlatformStore(store.address, MonotonicClock())
     store.faults.silent = True
-    gevent.spawn_later(0.1, client.hang_up)
+    gevent.spawn_later(0.1, client.cancel_request)
     started_ms = MonotonicClock().now_ms()
     assert isinstance(client.changes("op", 0, 20_000, 1_500), Unavailable)
     assert MonotonicClock().now_ms() - started_ms < 1_000
--- a/tests/randomised/fakes.py
+++ b/tests/randomised/fakes.py
@@ -21,7 +21,7 @@
     Transaction,
     Unavailable,
 )
-from monsoonflow.storage.vms import VmList
+from monsoonflow.storage.vm_list import VmList
 
 from .virtual import VirtualTasks, World
 
--- a/tests/randomised/scenario.py
+++ b/tests/randomised/scenario.py
@@ -12,7 +12,7 @@
 from monsoonflow.node.assembly import assemble
 from monsoonflow.node.context import Edges
 from monsoonflow.node.settings import NodeSettings, load_settings
-from monsoonflow.storage.settling import SettlingTable
+from monsoonflow.storage.retrying_table import RetryingTable
 from script.fleet import bring_in_intent
 
 from .engines import EngineClient, FakeEngine, Record
@@ -91,7 +91,7 @@
         settings = node_settings(name, address)
         table = TableClient(self.world, self.weather, tasks, self.table, name)
         edges = Edges(
-            table=SettlingTable(table, tasks),
+            table=RetryingTable(table, tasks),
             objects=self.objects,
             vms=self.vms,
             control=ControlFake(self.network, tasks, name),
--- a/tests/storage/test_watch.py
+++ b/tests/storage/test_watch.py
@@ -8,7 +8,7 @@
 
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.storage.models import ChangedRow, Changes, HistoryLost, Unavailable
-from monsoonflow.storage.watch import LEAST_PAUSE_MS, WAIT_MS, CollectionWatch
+from monsoonflow.storage.watch import DEFAULT_WAIT_MS, MIN_PAUSE_MS, CollectionWatch
 
 
 class Feed:
@@ -22,7 +22,7 @@
         """Return the next answer."""
         return self.answers.popleft()
 
-    def changes(self, collection, after, wait_ms, answer_ms):
+    def changes(self, collection, after, wait_ms, answer_timeout_ms):
         """Return the next answer and note the question."""
         self.asked_after.append(after)
         return self.answers.popleft()
@@ -56,7 +56,7 @@
 
 def play(watch, feed, *answers):
     feed.answers.extend(answers)
-    return [watch.step() for _ in answers]
+    return [watch.request_once() for _ in answers]
 
 
 def test_everything_is_read_then_changes_follow(watch, feed, seen):
@@ -113,16 +113,16 @@
         self.meanwhile = lambda: None
         self.hung_up = False
 
-    def changes(self, collection, after, wait_ms, answer_ms):
+    def changes(self, collection, after, wait_ms, answer_timeout_ms):
         """Let something happen while the question waits."""
         self.waits.append(wait_ms)
         self.meanwhile()
         if self.hung_up:
             self.hung_up = False
             return Unavailable("given up")
-        return super().changes(collection, after, wait_ms, answer_ms)
+        return super().changes(collection, after, wait_ms, answer_timeout_ms)
 
-    def hang_up(self):
+    def cancel_request(self):
         """Give the question up."""
         self.hung_up = True
 
@@ -137,11 +137,11 @@
         feed, "t", None, ManualClock(), seen.append, lambda: returned.append(True)
     )
     play(watch, feed, rows(5, ("a", 3, b"1")))
-    feed.meanwhile = watch.doubt
-    assert watch.step() == 0
+    feed.meanwhile = watch.restart_waiting_request
+    assert watch.request_once() == 0
     feed.meanwhile = lambda: None
     play(watch, feed, rows(6, ("a", 6, b"2")), rows(7))
-    assert feed.waits == [WAIT_MS, 0, WAIT_MS]
+    assert feed.waits == [DEFAULT_WAIT_MS, 0, DEFAULT_WAIT_MS]
     assert [row.body for row in seen] == [b"1", b"2"]
     assert not returned and watch.lost_since_ms is None
 
@@ -149,10 +149,10 @@
 def test_a_question_that_does_not_wait_is_not_given_up(seen):
     feed = Waiting()
     watch = CollectionWatch(feed, "t", None, ManualClock(), seen.append)
-    watch.doubt()
+    watch.restart_waiting_request()
     feed.answers.append(rows(5))
-    feed.meanwhile = watch.doubt
-    watch.step()
+    feed.meanwhile = watch.restart_waiting_request
+    watch.request_once()
     assert not feed.hung_up
 
 
@@ -206,7 +206,7 @@
 
     def on_sleep():
         if len(sleeps) == 2:
-            watch.poke()
+            watch.request_soon()
         if len(sleeps) == 3:
             raise Ended
 
@@ -214,5 +214,5 @@
     watch = CollectionWatch(feed, "t", tasks, ManualClock(), seen.append, pause_ms=lambda: 9_000)
     with pytest.raises(Ended):
         watch.run()
-    assert sleeps == [LEAST_PAUSE_MS] * 3
-    assert waits == [9_000 - LEAST_PAUSE_MS, 0]
+    assert sleeps == [MIN_PAUSE_MS] * 3
+    assert waits == [9_000 - MIN_PAUSE_MS, 0]
