--- a/monsoonflow/storage/__init__.py
+++ b/monsoonflow/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Reaches what must last: table service, object store and the list of VMs."""
+"""Clients of the table service, the object store and the VM list, and watches of change feeds."""
--- a/monsoonflow/storage/answer_timeout.py
+++ b/monsoonflow/storage/answer_timeout.py
@@ -1,16 +1,17 @@
-"""Decides how long an answer is waited for, by how fast answers have come."""
+"""Adapts the timeout for an answer to the speed of previous answers."""
 
 from __future__ import annotations
 
 
 class AnswerTimeout:
-    """Grows while answers stay out and shrinks when they come soon.
+    """A timeout that doubles when no answer arrives and halves when answers are fast.
 
-    Short from the start, a question that nobody will ever answer is given up before its news is
-    late. Kept short, a store that has become slow would never be heard again.
+    It is short at first, so that a request that will never be answered times out before its
+    changes are late. If it stayed short, no answer of a store that has become slow would ever be
+    received.
 
-    :param min_ms: while answers come at once.
-    :param max_ms: however long answers have stayed out.
+    :param min_ms: timeout while answers are fast.
+    :param max_ms: upper limit, however many answers have been missed.
 
     >>> answer_timeout = AnswerTimeout(300, 1_000)
     >>> for _ in range(3):
@@ -31,10 +32,10 @@
         self.timeout_ms = min_ms
 
     def record_timeout(self) -> None:
-        """Take that an answer did not come in time."""
+        """Double the timeout, since an answer did not arrive in time."""
         self.timeout_ms = min(self._max_ms, self.timeout_ms * 2)
 
-    def record_answer(self, took_ms: int) -> None:
-        """Take how long an answer took; one that needed more than half keeps the patience."""
-        if took_ms <= self.timeout_ms // 2:
+    def record_answer(self, duration_ms: int) -> None:
+        """Halve the timeout, unless the answer took more than half of it."""
+        if duration_ms <= self.timeout_ms // 2:
             self.timeout_ms = max(self._min_ms, self.timeout_ms // 2)
--- a/monsoonflow/storage/const.py
+++ b/monsoonflow/storage/const.py
@@ -1,4 +1,4 @@
-"""Constants of the platform's clients."""
+"""Constants of the clients of the table service, object store and VM list."""
 
 from __future__ import annotations
 
--- a/monsoonflow/storage/models.py
+++ b/monsoonflow/storage/models.py
@@ -1,4 +1,4 @@
-"""Data of the table service and tagged outcomes of its calls."""
+"""Interfaces and data of the table service and object store, and the results of their calls."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @attrs.frozen(slots=True)
 class Row:
-    """A row as read.
+    """A row that was read.
 
-    :param version: rises with every write of the row and is never used again.
+    :param version: increases with every write of the row and is never reused.
     """
 
     key: str
@@ -24,7 +24,7 @@
 class Transaction:
     """Writes that take effect together, or not at all.
 
-    :param operation_id: written into each row, so that an unclear answer can be settled.
+    :param operation_id: written into each row, so that an ambiguous result can be resolved.
     :param conditions: row versions that must still be current (0: the row must not exist).
     """
 
@@ -38,7 +38,7 @@
 class Committed:
     """The transaction took effect.
 
-    :param version: what the written rows' versions are now.
+    :param version: version of the written rows after the commit.
     """
 
     version: int = 0
@@ -51,9 +51,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """The service gave no answer.
+    """The service did not answer, or not with a usable result.
 
-    :param ambiguous: whether a write may have taken effect, or may still do so.
+    :param ambiguous: whether a write may have taken effect, or may still take effect.
     """
 
     reason: str
@@ -67,43 +67,43 @@
     """The transactional table service."""
 
     def get(self, key: str) -> Row | None | Unavailable:
-        """Return a row; ``None`` means that the service said there is none."""
+        """Return a row; ``None`` if the service answered that it does not exist."""
 
     def scan(self, prefix: str, after: str = "") -> list[Row] | Unavailable:
-        """Return the rows under a prefix in key order, those after a key only."""
+        """Return the rows with a key prefix in key order, only those after ``after``."""
 
     def commit(self, transaction: Transaction) -> CommitResult:
-        """Write a transaction and settle an unclear answer."""
+        """Write a transaction; retry and resolve an ambiguous result."""
 
 
 class RawTable(Protocol):
-    """The table service as its protocol gives it: a commit may end unclear."""
+    """The table service without retries: the result of a commit may be ambiguous."""
 
     def get(self, key: str) -> Row | None | Unavailable:
-        """Return a row; ``None`` means that the service said there is none."""
+        """Return a row; ``None`` if the service answered that it does not exist."""
 
     def scan(self, prefix: str, after: str = "") -> list[Row] | Unavailable:
-        """Return the rows under a prefix in key order, those after a key only."""
+        """Return the rows with a key prefix in key order, only those after ``after``."""
 
     def commit_once(self, transaction: Transaction) -> CommitResult:
-        """Send a transaction once."""
+        """Send a transaction once, without a retry."""
 
 
 class ObjectStore(Protocol):
     """The object store."""
 
     def put(self, key: str, body: bytes) -> bool:
-        """Store an object; ``False`` when it is not certain to be stored."""
+        """Store an object; ``False`` if it may not have been stored."""
 
     def get(self, key: str) -> bytes | None | Unavailable:
-        """Return an object; ``None`` means that the store said there is none."""
+        """Return an object; ``None`` if the store answered that it does not exist."""
 
 
 @attrs.frozen(slots=True)
 class ChangedRow:
     """A row that changed.
 
-    :param body: the row's bytes as stored; ``None`` when it was removed.
+    :param body: the row's bytes as stored; ``None`` if it was removed.
     """
 
     key: str
@@ -115,7 +115,7 @@
 class Changes:
     """Rows that changed, in order.
 
-    :param version: of the whole table service; the next question goes on after it.
+    :param version: version of the whole table service; the next request asks for changes after it.
     """
 
     rows: tuple[ChangedRow, ...]
@@ -124,22 +124,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The service no longer knows what changed since then; everything must be read again."""
+    """The service no longer has the changes since that version; all rows must be read again."""
 
 
 class ChangeFeed(Protocol):
-    """Tells what changes in a collection of rows."""
+    """Reports the changes in a collection of rows."""
 
     def read_all(self, collection: str) -> Changes | Unavailable:
-        """Return all rows of one moment."""
+        """Return all rows as of one moment."""
 
     def changes(
         self, collection: str, after: int, wait_ms: int, answer_timeout_ms: int
     ) -> Changes | HistoryLost | Unavailable:
-        """Return what changed after a version, as soon as there is something.
+        """Return the changes after a version, as soon as there are any.
 
-        :param answer_timeout_ms: how much longer than it may wait for changes the answer may take.
+        :param wait_ms: how long the service may wait for changes before it answers.
+        :param answer_timeout_ms: how long the answer may take in addition to this wait.
         """
 
     def cancel_request(self) -> None:
-        """Give the question in progress up; it ends as if it had got no answer."""
+        """Cancel the request in progress; it ends as if it had not been answered."""
--- a/monsoonflow/storage/object_store.py
+++ b/monsoonflow/storage/object_store.py
@@ -1,4 +1,4 @@
-"""Calls the object store over HTTP."""
+"""Client of the object store over HTTP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self._http = HttpClient(timeout_ms)
 
     def put(self, key: str, body: bytes) -> bool:
-        """Store an object; ``False`` when it is not certain to be stored."""
+        """Store an object; ``False`` if it may not have been stored."""
         result = self._http.open("PUT", f"{self._base_url}/objects/{key}", body=body)
         if isinstance(result, Lost):
             return False
@@ -24,7 +24,7 @@
         return result.status == 200
 
     def get(self, key: str) -> bytes | None | Unavailable:
-        """Return an object; ``None`` means that the store said there is none."""
+        """Return an object; ``None`` if the store answered that it does not exist."""
         result = self._http.call("GET", f"{self._base_url}/objects/{key}")
         match result:
             case Answer(status=200):
--- a/monsoonflow/storage/retrying_table.py
+++ b/monsoonflow/storage/retrying_table.py
@@ -1,4 +1,4 @@
-"""Settles unclear answers of the table service."""
+"""Retries commits to the table service and resolves ambiguous results."""
 
 from __future__ import annotations
 
@@ -21,40 +21,41 @@
 
 
 class RetryingTable:
-    """A table whose commits are sent again, a bounded number of times, until they are clear."""
+    """A table that retries a commit, a limited number of times, until its result is certain."""
 
     def __init__(self, raw: RawTable, tasks: Tasks) -> None:
         self._raw = raw
         self._tasks = tasks
 
     def get(self, key: str) -> Row | None | Unavailable:
-        """Return a row; ``None`` means that the service said there is none."""
+        """Return a row; ``None`` if the service answered that it does not exist."""
         return self._raw.get(key)
 
     def scan(self, prefix: str, after: str = "") -> list[Row] | Unavailable:
-        """Return the rows under a prefix in key order, those after a key only."""
+        """Return the rows with a key prefix in key order, only those after ``after``."""
         return self._raw.scan(prefix, after)
 
     def commit(self, transaction: Transaction) -> CommitResult:
-        """Write a transaction and settle an unclear answer.
+        """Write a transaction; retry and resolve an ambiguous result.
 
-        An answer can be lost after the effect. The same conditional transaction is sent again: at
-        most one sending can take effect, since the first changes the versions that the others are
-        bound to. A conflict after an unclear try is settled by the operation id in the row.
+        An answer can be lost after the transaction took effect. The same conditional transaction
+        is sent again: at most one attempt can take effect, since it changes the versions that the
+        conditions of the others require. A conflict after an ambiguous attempt is resolved by the
+        operation id in the row.
         """
-        unclear = False
+        is_ambiguous = False
         for _ in range(MAX_COMMIT_ATTEMPTS):
             result = self._raw.commit_once(transaction)
             match result:
                 case Committed():
                     return result
                 case Conflict():
-                    return self._resolve_conflict(transaction) if unclear else result
+                    return self._resolve_conflict(transaction) if is_ambiguous else result
                 case Unavailable(ambiguous=ambiguous):
-                    unclear = unclear or ambiguous
+                    is_ambiguous = is_ambiguous or ambiguous
             self._tasks.sleep(COMMIT_RETRY_PAUSE_MS)
         log(_LOGGER, events.CommitUnclear(operation=transaction.operation_id))
-        return Unavailable("no answer", ambiguous=unclear)
+        return Unavailable("no answer", ambiguous=is_ambiguous)
 
     def _resolve_conflict(self, transaction: Transaction) -> CommitResult:
         for key in transaction.puts:
--- a/monsoonflow/storage/table.py
+++ b/monsoonflow/storage/table.py
@@ -1,4 +1,4 @@
-"""Calls the table service over HTTP."""
+"""Client of the table service over HTTP."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class HttpTable:
-    """A client of the table service with deadlines; each call is sent once."""
+    """A client of the table service with timeouts; each call is sent once.
+
+    :ivar reads: number of reads sent.
+    :ivar writes: number of commits sent.
+    """
 
     def __init__(self, base_url: str, timeout_ms: int = CALL_TIMEOUT_MS) -> None:
         self._base_url = base_url.rstrip("/")
@@ -19,7 +23,7 @@
         self.writes = 0
 
     def get(self, key: str) -> Row | None | Unavailable:
-        """Return a row; ``None`` means that the service said there is none."""
+        """Return a row; ``None`` if the service answered that it does not exist."""
         self.reads += 1
         result = self._http.call("GET", f"{self._base_url}/row?key={quote(key, safe='')}")
         match result:
@@ -33,7 +37,7 @@
                 return Unavailable(reason)
 
     def scan(self, prefix: str, after: str = "") -> list[Row] | Unavailable:
-        """Return the rows under a prefix in key order, those after a key only."""
+        """Return the rows with a key prefix in key order, only those after ``after``."""
         self.reads += 1
         query = f"prefix={quote(prefix, safe='')}&after={quote(after, safe='')}"
         result = self._http.call("GET", f"{self._base_url}/rows?{query}")
@@ -46,12 +50,12 @@
                 return Unavailable(reason)
 
     def commit_once(self, transaction: Transaction) -> CommitResult:
-        """Send a transaction once."""
+        """Send a transaction once, without a retry."""
         self.writes += 1
-        stamp = {"op": transaction.operation_id}
+        operation_field = {"op": transaction.operation_id}
         body = {
             "conditions": transaction.conditions,
-            "puts": {key: {**value, **stamp} for key, value in transaction.puts.items()},
+            "puts": {key: {**value, **operation_field} for key, value in transaction.puts.items()},
             "deletes": list(transaction.deletes),
         }
         result = self._http.call("POST", f"{self._base_url}/commit", json=body)
--- a/monsoonflow/storage/vm_list.py
+++ b/monsoonflow/storage/vm_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of VMs."""
+"""Client of the platform's list of VMs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @attrs.frozen(slots=True)
 class VmList:
-    """The VMs by address, as the platform says; it lags."""
+    """The addresses of the VMs as the platform lists them; the list lags behind.
+
+    :param leaving: VMs that the platform is going to stop.
+    """
 
     live: frozenset[str]
     leaving: frozenset[str]
--- a/monsoonflow/storage/watch.py
+++ b/monsoonflow/storage/watch.py
@@ -1,4 +1,4 @@
-"""Follows a collection of rows through outages, lost history and stale reads."""
+"""Follows the changes of a collection of rows despite outages, lost history and stale reads."""
 
 from __future__ import annotations
 
@@ -15,41 +15,49 @@
 
 _LOGGER = logging.getLogger(__name__)
 DEFAULT_WAIT_MS: Final = 20_000
-"""How long one question waits for changes: each costs a read, and a change ends it at once."""
+"""How long a request waits for changes: each costs a read, and a change ends it at once."""
 
 MIN_RETRY_PAUSE_MS: Final = 250
 MAX_RETRY_PAUSE_MS: Final = 800
-"""The pause doubles up to this through an outage: all nodes ask, and each refused call costs; news
-after its end comes at most this late, and entries of servers take two seconds to be back."""
+"""The pause doubles up to this during an outage, since all nodes send requests and each refused
+call costs. Changes after the outage are received at most this much later; entries of servers take
+two seconds to be back."""
 
 UNRESPONSIVE_REQUEST_INTERVAL_MS: Final = 1_000
-"""A service that is silent is asked so often by each watch. Watches of different phases ask one
-after the other: the end of the silence lies between two questions."""
+"""How often each watch sends a request to an unresponsive service. Watches with different first
+retry delays send one after the other, so that the time at which the service responds again lies
+between two of their requests."""
 
 SLOW_ANSWER_MS: Final = 100
-"""A question that waits for no changes is answered sooner, by a service that is not slow."""
+"""A service that is not slow answers a request that does not wait for changes sooner than this."""
 
 MIN_PAUSE_MS: Final = 500
-"""A poke ends no pause sooner: many servers that come at once are read together."""
+"""Minimum pause, even if a request is wanted soon: many servers that are added at once are then
+read together."""
 
 MIN_ANSWER_TIMEOUT_MS: Final = 500
-"""How much longer than it may wait for changes a question's answer may take while answers come
-soon: a store that is sixty times as slow as usual answers within 240 ms."""
+"""How long an answer may take, in addition to the wait for changes, while answers are fast: a store
+that is sixty times as slow as usual answers within 240 ms."""
 
 STALE_READ_PAUSE_MS: Final = 400
-"""Pause before a read that was older than what is known is made again."""
+"""Pause before all rows are read again after a read that was older than the rows already known."""
 
 
 class CollectionWatch:
-    """Keeps the rows of one collection as the service holds them.
-
-    :param on_change: takes a row that is new, changed or gone (then its body is ``None``).
-    :param pause_ms: returns the pause between questions; changes of that time come in one answer.
-    :param wait_ms: how long a question waits for changes.
-    :param answer_timeout: how much longer than that its answer is waited for.
-    :param on_lost: called when a question has found that the service does not answer.
-    :param first_retry_delay_ms: how long after the first lost answer it is asked again.
-    :param on_return: called when the service answers again after an outage, before its rows.
+    """Follows the rows of one collection and reports each change.
+
+    :param on_change: called with each row that was added, changed or removed (then its body is
+        ``None``).
+    :param on_return: called when the service answers again after an outage, before its rows are
+        reported.
+    :param pause_ms: returns the pause between requests; changes during it arrive in one answer.
+    :param wait_ms: how long a request waits for changes.
+    :param answer_timeout: how long its answer may take in addition to this wait.
+    :param on_lost: called when an outage begins, at the first request that fails.
+    :param first_retry_delay_ms: delay of the next request after the first that timed out.
+    :ivar is_loaded: whether all rows have been read; ``False`` again after lost history.
+    :ivar lost_since_ms: when the current outage was noticed; ``None`` while the service answers.
+    :ivar last_outage_ms: duration of the last outage that has ended.
     """
 
     def __init__(
@@ -95,7 +103,7 @@
         self._current_pause_ms = 0
 
     def run(self) -> None:
-        """Follow the collection for good."""
+        """Follow the collection; does not return."""
         self._request_soon_flag = self._tasks.flag()
         while True:
             pause_ms = self.request_once()
@@ -103,7 +111,10 @@
                 self._pause(pause_ms)
 
     def _pause(self, pause_ms: int) -> None:
-        """Let the pause pass; one that was made longer is ended by a poke."""
+        """Wait between requests; ``request_soon`` ends a wait after ``MIN_PAUSE_MS``.
+
+        During an outage it ends the wait at once.
+        """
         self._current_pause_ms = pause_ms
         if self.lost_since_ms is not None:
             self._request_soon_flag.wait(pause_ms)
@@ -115,54 +126,60 @@
         self._request_soon_flag.clear()
 
     def pause_ms(self) -> int:
-        """Return the pause between two questions as things stand."""
+        """Return the current pause between two requests."""
         return self._get_pause_ms()
 
     def earliest_change_ms(self) -> int | None:
-        """Return after when what is being taken has changed at the earliest.
+        """Return the earliest time at which the row being applied can have changed.
 
-        ``None``: nothing is known of that, it is the first answer. Changes come as they are made
-        while questions are answered; in a gap they may be as old as the last answer before it.
+        ``None`` if it is unknown, since this is the first answer. Changes are received as they
+        are made while requests are answered; after a gap they may be as old as the last answer
+        before the gap.
         """
         return self._last_answer_ms if self._has_gap else self._clock.now_ms()
 
     def answer_age_ms(self) -> int | None:
-        """Return how long ago the service last answered; ``None``: it never has."""
+        """Return how long ago the service last answered; ``None`` if it never has."""
         return None if self._last_answer_ms is None else self._clock.now_ms() - self._last_answer_ms
 
     def last_unanswered_ms(self) -> int | None:
-        """Return when the last question was asked that got no answer, or none for long."""
-        asked_ms = self._request_sent_ms
-        if asked_ms is None or self._is_waiting:
+        """Return when the last request was sent that got no answer, or only a slow one.
+
+        A pending request that does not wait for changes counts from ``SLOW_ANSWER_MS`` on.
+        """
+        sent_ms = self._request_sent_ms
+        if sent_ms is None or self._is_waiting:
             return self._last_unanswered_ms
-        long_ago = self._clock.now_ms() - asked_ms >= SLOW_ANSWER_MS
-        return asked_ms if long_ago else self._last_unanswered_ms
+        is_slow = self._clock.now_ms() - sent_ms >= SLOW_ANSWER_MS
+        return sent_ms if is_slow else self._last_unanswered_ms
 
     def end_overlong_pause(self) -> None:
-        """End a pause that has become too long: this node's part in the asking has grown."""
+        """End a pause that is now too long, since this node's share of the requests has grown."""
         if self._get_pause_ms() < self._current_pause_ms:
             self.request_soon()
 
     def has_answered_since(self, since_ms: int) -> bool:
-        """Tell whether the service answers, and has since some moment."""
-        answered_ms = self._last_answer_ms
-        return self.lost_since_ms is None and answered_ms is not None and answered_ms >= since_ms
+        """Return whether the service answers now and has answered at or after a given time."""
+        last_answer_ms = self._last_answer_ms
+        return (
+            self.lost_since_ms is None and last_answer_ms is not None and last_answer_ms >= since_ms
+        )
 
     def restart_waiting_request(self) -> None:
-        """Give a question that waits up and ask anew: the service may have been silent since.
+        """Cancel a request that waits for changes and send it again without a wait.
 
-        What it was to answer on that connection may be lost, and nothing would tell so before the
-        end of the wait.
+        The service may have been unresponsive since it was sent. Its answer on that connection may
+        be lost, which would otherwise not be noticed before the end of the wait.
         """
         if self._is_waiting:
             self._is_restarting = True
             self._feed.cancel_request()
 
     def resume_after_outage(self) -> None:
-        """Take that the service has answered another question: ask anew, if it was lost here.
+        """Send a request now if this watch has an outage; another watch has got an answer.
 
-        A question from before the end of an outage may never be answered, and its end would be
-        noticed one patience and one pause later.
+        A request sent before the end of an outage may never be answered. The end of the outage
+        would then be noticed one answer timeout and one pause later.
         """
         if self.lost_since_ms is None:
             return
@@ -173,29 +190,29 @@
             self.request_soon()
 
     def request_soon(self) -> None:
-        """Ask soon: somebody has told that there is news."""
+        """Send the next request soon, since a peer has announced changes."""
         if self._request_soon_flag is not None:
             self._request_soon_flag.set()
 
     def request_once(self) -> int:
-        """Ask once; return how long to pause before the next question."""
-        asked_ms = self._clock.now_ms()
+        """Send one request; return how long to pause before the next one."""
+        sent_ms = self._clock.now_ms()
         if not self.is_loaded:
-            return self._apply_all(self._feed.read_all(self._collection), asked_ms)
-        # Of a service that is lost, or may be, there is nothing to wait for but its first word.
+            return self._apply_all(self._feed.read_all(self._collection), sent_ms)
+        # While the service does not answer, or may not, any answer is wanted and not only changes.
         wait_ms = 0 if self._is_restarting or self.lost_since_ms is not None else self._wait_ms
         self._is_restarting = False
-        patience_ms = self._answer_timeout.timeout_ms
+        timeout_ms = self._answer_timeout.timeout_ms
         self._is_waiting = wait_ms > 0
-        self._request_sent_ms = asked_ms
-        result = self._feed.changes(self._collection, self._version, wait_ms, patience_ms)
+        self._request_sent_ms = sent_ms
+        result = self._feed.changes(self._collection, self._version, wait_ms, timeout_ms)
         self._is_waiting, self._request_sent_ms = False, None
-        took_ms = self._clock.now_ms() - asked_ms
-        if wait_ms == 0 and took_ms >= SLOW_ANSWER_MS:
-            self._last_unanswered_ms = asked_ms
+        duration_ms = self._clock.now_ms() - sent_ms
+        if wait_ms == 0 and duration_ms >= SLOW_ANSWER_MS:
+            self._last_unanswered_ms = sent_ms
         match result:
             case Changes(rows=rows, version=version):
-                self._answer_timeout.record_answer(took_ms)
+                self._answer_timeout.record_answer(duration_ms)
                 self._handle_answer()
                 for row in rows:
                     self._apply_row(row)
@@ -211,26 +228,26 @@
                 self._has_gap = True
                 return 0
             case Unavailable(reason=reason):
-                unanswered = took_ms >= wait_ms + patience_ms
-                if unanswered:
+                has_timed_out = duration_ms >= wait_ms + timeout_ms
+                if has_timed_out:
                     self._answer_timeout.record_timeout()
-                first = self.lost_since_ms is None
-                pause_ms = self._handle_unavailable(reason, asked_ms)
-                if not unanswered:
+                is_outage_start = self.lost_since_ms is None
+                pause_ms = self._handle_unavailable(reason, sent_ms)
+                if not has_timed_out:
                     return pause_ms
-                # One lost answer alone must not make news late: asked again soon.
+                # A single lost answer must not delay changes: the first retry is sent soon.
                 return (
                     self._first_retry_delay_ms
-                    if first
-                    else max(0, UNRESPONSIVE_REQUEST_INTERVAL_MS - took_ms)
+                    if is_outage_start
+                    else max(0, UNRESPONSIVE_REQUEST_INTERVAL_MS - duration_ms)
                 )
 
-    def _apply_all(self, result: Changes | Unavailable, asked_ms: int) -> int:
+    def _apply_all(self, result: Changes | Unavailable, sent_ms: int) -> int:
         if isinstance(result, Unavailable):
-            return self._handle_unavailable(result.reason, asked_ms)
+            return self._handle_unavailable(result.reason, sent_ms)
         if result.version < self._version:
-            # After a lost history reads may come from a copy that is seconds behind: taken, it
-            # would bring back servers that left and configuration that was replaced.
+            # After lost history, reads may come from a replica that is seconds behind. If it were
+            # applied, departed servers and replaced configuration would be back.
             log(
                 _LOGGER,
                 events.StaleRead(
@@ -239,10 +256,10 @@
             )
             return STALE_READ_PAUSE_MS
         self._handle_answer()
-        present = {row.key for row in result.rows}
+        present_keys = {row.key for row in result.rows}
         for row in result.rows:
             self._apply_row(row)
-        for key in [known for known in self._row_version_by_key if known not in present]:
+        for key in [key for key in self._row_version_by_key if key not in present_keys]:
             self._apply_row(ChangedRow(key, result.version, None))
         self._version = result.version
         self.is_loaded = True
@@ -275,9 +292,9 @@
         )
         self._on_return()
 
-    def _handle_unavailable(self, reason: str, asked_ms: int) -> int:
+    def _handle_unavailable(self, reason: str, sent_ms: int) -> int:
         self._has_gap = True
-        self._last_unanswered_ms = asked_ms
+        self._last_unanswered_ms = sent_ms
         if self.lost_since_ms is None:
             self.lost_since_ms = self._clock.now_ms()
             log(
