--- a/tests/storage/__init__.py
+++ b/tests/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the platform component."""
+"""Tests of the storage component."""
