--- a/tests/entry/test_watchers.py
+++ b/tests/entry/test_watchers.py
@@ -146,7 +146,9 @@
                 pause_ms = node.store_watches.servers.pause_ms()
                 if now_ms >= min(node.next_poll_ms, node.last_poll_ms + pause_ms):
                     node.last_poll_ms = now_ms
-                    node.next_poll_ms = now_ms + max(STEP_MS, node.store_watches.servers.request_once())
+                    node.next_poll_ms = now_ms + max(
+                        STEP_MS, node.store_watches.servers.request_once()
+                    )
 
     def all_know_after_ms(self, life: ServerLife) -> int:
         """Return how many ms it takes until no node would use a server that starts to drain now."""
