--- a/measure/desk_load.py
+++ b/measure/desk_load.py
@@ -144,10 +144,10 @@
     status = 0
     body = b""
 
-    def caller_left(self) -> bool:
+    def has_caller_left(self) -> bool:
         return False
 
-    def whole(self, status: int, headers: list, body: bytes = b"") -> None:
+    def send_whole(self, status: int, headers: list, body: bytes = b"") -> None:
         self.status, self.body = status, body
 
 
--- a/monsoonflow/api/services.py
+++ b/monsoonflow/api/services.py
@@ -17,13 +17,13 @@
 from ..node.relay import HEADER_NODE_TOKEN
 from ..request.parse import BadRequest, Terms, parse_terms
 from ..routing.idempotency_keys import KeyConflict, KeysFull, KnownKey
-from ..transport.const import ONE_CONNECTION_ONLY
+from ..transport.const import HOP_BY_HOP_HEADERS
 from ..transport.models import BrokenAnswer, Lost
 from ..transport.wsgi import RAW_HEADERS, RAW_TARGET, AnswerCut
 from .http import bad, ended_badly, identify, refuse
 
 _LOGGER = logging.getLogger(__name__)
-NOT_PASSED_ON: Final = ONE_CONNECTION_ONLY | {
+NOT_PASSED_ON: Final = HOP_BY_HOP_HEADERS | {
     b"authorization",
     b"host",
     b"x-request-id",
@@ -154,7 +154,7 @@
             body = b"".join(body)
         response = bottle.HTTPResponse(body, head.status)
         for name, value in head.headers:
-            if name.lower() not in ONE_CONNECTION_ONLY:
+            if name.lower() not in HOP_BY_HOP_HEADERS:
                 response.add_header(name.decode("latin-1"), value.decode("latin-1"))
         length = head.value(b"content-length")
         if length is not None and not head.chunked:
--- a/monsoonflow/backend/plain_http.py
+++ b/monsoonflow/backend/plain_http.py
@@ -14,7 +14,7 @@
 import attrs
 
 from ..core.clock import Clock
-from ..transport.client import Pools, ServerConnection
+from ..transport.client import ConnectionPools, ServerConnection
 from ..transport.models import AnswerHead, BrokenAnswer, Header, Lost
 
 BODY_METHODS: Final = frozenset({b"POST", b"PUT", b"PATCH"})
@@ -58,7 +58,7 @@
     def close(self) -> None:
         """Keep the connection when the answer was read to its end, else end it."""
         if self._whole:
-            self._client.pools.give_back(self._key, self._connection, self.head)
+            self._client.pools.release(self._key, self._connection, self.head)
         else:
             self._connection.close()
 
@@ -72,7 +72,7 @@
     def __init__(self, clock: Clock, silence_ms: int) -> None:
         self._clock = clock
         self._silence_ms = silence_ms
-        self.pools = Pools(clock)
+        self.pools = ConnectionPools(clock)
         self._tls = ssl.create_default_context()
 
     def patience(self) -> int:
@@ -91,7 +91,7 @@
         if fresh or tls is not None:
             connection = self.pools.open(place.netloc, tls=tls)
         else:
-            connection = self.pools.take(address, place.netloc)
+            connection = self.pools.acquire(address, place.netloc)
         if isinstance(connection, Lost):
             return connection
         try:
--- a/monsoonflow/entry/cell_leases.py
+++ b/monsoonflow/entry/cell_leases.py
@@ -203,7 +203,7 @@
 
     def answer_slot_request(self, request: Request, reply: Reply) -> None:
         """Answer a peer that needs a slot for an adapter."""
-        if reply.caller_left():
+        if reply.has_caller_left():
             # A busy holder reads the request late: a slot would be reserved for nobody.
             return
         try:
@@ -213,16 +213,16 @@
             if lease is not None and lease.scheduler is not None:
                 result = self.request_slot(lease, slot_request)
         except (ValueError, KeyError, TypeError):
-            reply.whole(400, [])
+            reply.send_whole(400, [])
             return
         match result:
             case Placed(life=life, version=version, tried_ms=tried_ms):
                 answer = {"server": life, "version": version, "tried_ms": tried_ms}
-                reply.whole(200, [], orjson.dumps(answer))
+                reply.send_whole(200, [], orjson.dumps(answer))
             case NoSlot(retry_after_ms=retry_after_ms):
-                reply.whole(429, [], orjson.dumps({"retry_after_ms": retry_after_ms}))
+                reply.send_whole(429, [], orjson.dumps({"retry_after_ms": retry_after_ms}))
             case None:
-                reply.whole(503, [], b"{}")
+                reply.send_whole(503, [], b"{}")
 
     def request_slot(
         self, lease: CellLease, slot_request: dict[str, Any]
--- a/monsoonflow/entry/daemon.py
+++ b/monsoonflow/entry/daemon.py
@@ -37,9 +37,9 @@
 from ..routing.in_flight import InFlight
 from ..storage.models import ChangedRow, ChangeFeed, RawTable
 from ..storage.retrying_table import RetryingTable
-from ..transport.client import Pools
+from ..transport.client import ConnectionPools
 from ..transport.models import MessageLimits
-from ..transport.server import Handler, Port
+from ..transport.server import Handler, HttpServer
 from .address_directory import AddressDirectory
 from .cell_leases import CellLeases
 from .cluster_state import ClusterState
@@ -94,13 +94,13 @@
 class Ports:
     """The ports on which a process listens."""
 
-    callers: Port
-    ready: Port
-    directory: Port
-    peers: Port
-    metrics: Port
+    callers: HttpServer
+    ready: HttpServer
+    directory: HttpServer
+    peers: HttpServer
+    metrics: HttpServer
 
-    def all(self) -> tuple[Port, ...]:
+    def all(self) -> tuple[HttpServer, ...]:
         """Return all ports; callers are accepted last, when everything else answers."""
         return (self.ready, self.directory, self.peers, self.metrics, self.callers)
 
@@ -127,7 +127,7 @@
         self.in_flight = InFlight(self._handle_adapter_use_change)
         self.backlog = Backlog(self.in_flight, self.view)
         self.health_tracker = HealthTracker()
-        self.connection_pools = Pools(self.clock)
+        self.connection_pools = ConnectionPools(self.clock)
         self.metrics = EntryMetrics()
         self.stall_detector = StallDetector(self.clock, self.tasks, settings.bounds.thaw_ms)
         self._heartbeat_sequence = 0
@@ -166,7 +166,7 @@
             self.view,
             self.clock,
             self._handle_own_row,
-            self.connection_pools.forget,
+            self.connection_pools.close_idle,
             self._announce_store_changes,
             self.gossip.schedule_broadcast,
         )
@@ -341,7 +341,7 @@
             lambda: len(self.quarantine_manager.suspects.quarantined()),
         )
         gauge("duties", "Duties held.", lambda: len(self.cell_leases.claims()))
-        gauge("in_progress", "Requests in progress.", lambda: self.ports.callers.active)
+        gauge("in_progress", "Requests in progress.", lambda: self.ports.callers.active_count)
         gauge("store_calls", "Calls to the store since the start.", integration.store_calls)
         for kind in ("operator", "servers", "own"):
             gauge(
@@ -352,7 +352,7 @@
         gauge(
             "connections_opened",
             "Connections to servers opened.",
-            lambda: self.connection_pools.opened,
+            lambda: self.connection_pools.opened_count,
         )
         gauge("report_bytes", "Bytes of reports sent.", lambda: self.gossip.sent_bytes)
 
@@ -435,23 +435,25 @@
         )
         default_limits = MessageLimits
         return Ports(
-            callers=Port(
+            callers=HttpServer(
                 settings.callers_address, self.gateway.handle, self._message_limits, self.clock
             ),
-            ready=Port(
+            ready=HttpServer(
                 settings.ready_address,
                 integration.readiness(self.is_ready),
                 default_limits,
                 self.clock,
             ),
-            directory=Port(
+            directory=HttpServer(
                 settings.directory_address,
                 integration.directory(self.address_directory.choose),
                 default_limits,
                 self.clock,
             ),
-            peers=Port(settings.peer_address, peer_api.handle, default_limits, self.clock),
-            metrics=Port(settings.metrics_address, self.metrics.handle, default_limits, self.clock),
+            peers=HttpServer(settings.peer_address, peer_api.handle, default_limits, self.clock),
+            metrics=HttpServer(
+                settings.metrics_address, self.metrics.handle, default_limits, self.clock
+            ),
         )
 
     def _message_limits(self) -> MessageLimits:
@@ -472,11 +474,11 @@
             self.tasks.sleep(MAINTENANCE_INTERVAL_MS)
             # The settings file may change without a signal.
             self.reload()
-            self.connection_pools.sweep()
+            self.connection_pools.close_stale()
             self.store_watches.servers.end_overlong_pause()
             for life in self.cluster_state.server_registry.pop_removed(self.clock.now_ms()):
                 self.cell_leases.residency.forget(life)
-                self.connection_pools.forget(life)
+                self.connection_pools.close_idle(life)
                 self.health_tracker.forget(life)
                 self.backlog.forget(life)
 
--- a/monsoonflow/entry/metrics.py
+++ b/monsoonflow/entry/metrics.py
@@ -112,10 +112,10 @@
     def handle(self, request: Request, reply: Reply) -> None:
         """Answer with all metrics as text."""
         if request.target.partition(b"?")[0] != METRICS_PATH:
-            reply.whole(404, [])
+            reply.send_whole(404, [])
             return
         headers = [(b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8")]
-        reply.whole(200, headers, generate_latest(self.registry))
+        reply.send_whole(200, headers, generate_latest(self.registry))
 
     def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
         return Counter(METRIC_PREFIX + name, help_text, labels, registry=self.registry)
--- a/monsoonflow/entry/peers.py
+++ b/monsoonflow/entry/peers.py
@@ -10,7 +10,7 @@
 from ..fleet.view import FleetView
 from ..logs import events, log
 from ..routing.routes import RouteTable
-from ..transport.client import Answer, Pools, call
+from ..transport.client import Answer, ConnectionPools, call
 from ..transport.models import Lost, Request
 from ..transport.server import Reply
 from .cluster_state import ClusterState
@@ -31,7 +31,7 @@
     ) -> None:
         self._view = view
         self._clock = clock
-        self._pools = Pools(clock, max_idle=8)
+        self._pools = ConnectionPools(clock, max_idle=8)
         self._decode = decode
         self.has_snapshot = False
 
@@ -111,10 +111,10 @@
         path = request.target.partition(b"?")[0].decode("latin-1")
         cluster_state = self._cluster_state
         if path == CONFIGURATION_PATH and cluster_state.route_table is not None:
-            reply.whole(200, [], cluster_state.route_table_body)
+            reply.send_whole(200, [], cluster_state.route_table_body)
         elif path == SNAPSHOT_PATH and cluster_state.route_table is not None:
-            reply.whole(200, [], self._snapshot())
+            reply.send_whole(200, [], self._snapshot())
         elif path == SLOT_REQUEST_PATH:
             self._answer_slot_request(request, reply)
         else:
-            reply.whole(404, [])
+            reply.send_whole(404, [])
--- a/monsoonflow/entry/stopping.py
+++ b/monsoonflow/entry/stopping.py
@@ -23,7 +23,7 @@
 def stop_gracefully(daemon: EntryDaemon) -> None:
     """Release cell leases, send callers elsewhere, and end when the last request is answered."""
     started_ms = daemon.clock.now_ms()
-    log(_LOGGER, events.Stopping(in_progress=daemon.ports.callers.active))
+    log(_LOGGER, events.Stopping(in_progress=daemon.ports.callers.active_count))
     daemon.is_leaving = True
     end_ms = started_ms + daemon.settings.bounds.grace_ms - EXIT_MARGIN_MS
     daemon.cell_leases.release_all(end_ms - CHECK_INTERVAL_MS)
@@ -31,7 +31,7 @@
     # this node for seconds: the last of 195 nodes receives it after 3.4 s, and new connections are
     # accepted for 2.5 s.
     daemon.gossip.schedule_broadcast()
-    daemon.ports.callers.stop_keeping()
+    daemon.ports.callers.stop_keep_alive()
     listen_until_ms = min(end_ms, started_ms + KEEP_LISTENING_MS)
     while daemon.clock.now_ms() < listen_until_ms:
         daemon.tasks.sleep(CHECK_INTERVAL_MS)
@@ -42,12 +42,13 @@
     daemon.ports.callers.stop_listening()
     daemon.tasks.sleep(CHECK_INTERVAL_MS)
     while daemon.clock.now_ms() < end_ms and (
-        daemon.ports.callers.active or daemon.cell_leases.holds_any()
+        daemon.ports.callers.active_count or daemon.cell_leases.holds_any()
     ):
         daemon.tasks.sleep(CHECK_INTERVAL_MS)
     log(
         _LOGGER,
         events.Stopped(
-            in_progress=daemon.ports.callers.active, took_ms=daemon.clock.now_ms() - started_ms
+            in_progress=daemon.ports.callers.active_count,
+            took_ms=daemon.clock.now_ms() - started_ms,
         ),
     )
--- a/monsoonflow/gateway/attempt.py
+++ b/monsoonflow/gateway/attempt.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Final, TypeVar
 
-from ..transport.client import Pools, ServerConnection
+from ..transport.client import ConnectionPools, ServerConnection
 from ..transport.const import CONNECT_TIMEOUT_MS, REPLY_BUFFER_BYTES
 from ..transport.models import AnswerHead, BrokenAnswer, Lost, Request
 from ..transport.server import Reply
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        pools: Pools,
+        pools: ConnectionPools,
         dialect: Dialect,
         request: Request,
         call: Call,
@@ -104,7 +104,7 @@
         # was answered 115 ms after the route's timeout.
         remaining_ms = self._answer_deadline_ms - self._pools.clock.now_ms()
         connect_ms = max(1, min(CONNECT_TIMEOUT_MS, remaining_ms))
-        connection = self._pools.take(chosen.life, chosen.address, connect_ms)
+        connection = self._pools.acquire(chosen.life, chosen.address, connect_ms)
         if isinstance(connection, Lost):
             return Unsent(connection.reason, connection.refused)
         is_reusable = False
@@ -112,7 +112,7 @@
         try:
             # After the process was suspended, the connection to the server may be ready before the
             # end of the caller's connection was noticed: the request would be sent for nobody.
-            reply.check_caller()
+            reply.raise_if_caller_left()
             # Waiting for the connection may take long: a server that was chosen 1.9 s after it had
             # announced that it leaves got the request 0.4 s after the limit of 2 s.
             if not self._may_send():
@@ -142,7 +142,7 @@
             # In all other cases, also when the caller leaves, the connection is closed at once: the
             # server stops working, and no late bytes can reach another request.
             if is_reusable and answer_head is not None:
-                self._pools.give_back(chosen.life, connection, answer_head)
+                self._pools.release(chosen.life, connection, answer_head)
             else:
                 connection.close()
 
--- a/monsoonflow/gateway/handler.py
+++ b/monsoonflow/gateway/handler.py
@@ -13,7 +13,7 @@
 from ..routing.first_event import FirstEventEstimator
 from ..routing.in_flight import InFlight, Ticket
 from ..routing.routes import Route, RouteKind, RouteTable, Service
-from ..transport.client import Pools
+from ..transport.client import ConnectionPools
 from ..transport.models import CallerLeft, Header, Request
 from ..transport.server import Reply
 from .attempt import NOT_RUN_STATUSES, Attempt
@@ -72,7 +72,7 @@
         clock: Clock,
         dialect: Dialect,
         route_table: Callable[[], RouteTable | None],
-        pools: Pools,
+        pools: ConnectionPools,
         in_flight: InFlight,
         backlog: Backlog,
         retry_budget: RetryBudget,
@@ -208,7 +208,7 @@
     def _attempt(
         self, job: Job, reply: Reply, chooser: ServerChooser, chosen: Chosen
     ) -> AttemptResult:
-        reply.check_caller()
+        reply.raise_if_caller_left()
         sent_ms = self._clock.now_ms()
         job.tried_lives.append(chosen.life)
         job.headroom = None
@@ -427,7 +427,7 @@
             )
         else:
             headers = self._dialect.forwarded_headers(result.head)
-            reply.whole(status, headers, result.body, result.head.reason)
+            reply.send_whole(status, headers, result.body, result.head.reason)
             outcome = "answered" if status < 500 else "server_failed"
             self._request_log.log_ended(
                 job, reply, outcome, f"status {status}" if status >= 500 else None
@@ -484,4 +484,4 @@
     ) -> None:
         headers: list[Header] = [(b"Content-Type", b"text/plain")]
         headers += self._dialect.own_answer_headers(call, retry_after_ms if status == 503 else None)
-        reply.whole(status, headers, reason.encode())
+        reply.send_whole(status, headers, reason.encode())
--- a/monsoonflow/node/daemon.py
+++ b/monsoonflow/node/daemon.py
@@ -31,7 +31,7 @@
 from ..storage.table import HttpTable
 from ..storage.vm_list import HttpVmList
 from ..transport.models import MessageLimits
-from ..transport.server import Port
+from ..transport.server import HttpServer
 from ..transport.wsgi import start_server
 from .assembly import assemble
 from .context import Edges
@@ -153,7 +153,7 @@
                 _LOGGER.exception("%s", pairs(event="loop_failed", loop=loop.__qualname__))
                 gevent.sleep(0.5)
 
-    def _shut_down(self, http: Port, rpc: Any) -> int:
+    def _shut_down(self, http: HttpServer, rpc: Any) -> int:
         self._node.stopper.run()
         http.stop_listening()
         http.wait_until_idle(LAST_ANSWERS_MS)
--- a/monsoonflow/platform/directory.py
+++ b/monsoonflow/platform/directory.py
@@ -21,9 +21,9 @@
 
     def handle(request: Request, reply: Reply) -> None:
         if request.target.partition(b"?")[0] != b"/v1/readiness":
-            reply.whole(404, [])
+            reply.send_whole(404, [])
             return
-        reply.whole(200 if is_ready() else 503, [])
+        reply.send_whole(200 if is_ready() else 503, [])
 
     return handle
 
@@ -40,13 +40,13 @@
     def handle(request: Request, reply: Reply) -> None:
         path, _, query = request.target.partition(b"?")
         if path != b"/v1/resolve":
-            reply.whole(404, [])
+            reply.send_whole(404, [])
             return
         addresses, ttl_s = choose_addresses(_zone_of_query(query))
         if not addresses:
-            reply.whole(503, [(b"Retry-After", b"0.3")])
+            reply.send_whole(503, [(b"Retry-After", b"0.3")])
             return
-        reply.whole(200, JSON_HEADERS, orjson.dumps({"addresses": addresses, "ttlS": ttl_s}))
+        reply.send_whole(200, JSON_HEADERS, orjson.dumps({"addresses": addresses, "ttlS": ttl_s}))
 
     return handle
 
--- a/monsoonflow/platform/engine.py
+++ b/monsoonflow/platform/engine.py
@@ -22,7 +22,7 @@
     Unanswered,
     Unusable,
 )
-from ..transport.client import Answer, Pools, call
+from ..transport.client import Answer, ConnectionPools, call
 from ..transport.models import Header, Lost
 from .schema import ReportFields
 from .servers import decode_held_models, parse_adapter_ref, to_server_life
@@ -39,7 +39,7 @@
     """Sends orders to model runners and fetches their reports."""
 
     def __init__(self, clock: Clock) -> None:
-        self._pools = Pools(clock, max_idle=2)
+        self._pools = ConnectionPools(clock, max_idle=2)
 
     def fetch_report(self, life: ServerLife, address: str) -> RunnerReport | Gone | None:
         """Return a runner's report, which may be some hundred milliseconds old.
@@ -100,7 +100,7 @@
 
     def close_connections(self, address: str) -> None:
         """Close the idle connections to a runner that was removed."""
-        self._pools.forget(address)
+        self._pools.close_idle(address)
 
     def _call(
         self, method: str, target: str, body: bytes, life: ServerLife, address: str, timeout_ms: int
--- a/monsoonflow/platform/headers.py
+++ b/monsoonflow/platform/headers.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from ..gateway.models import AnswerTerms, Call, ForwardedRequest, Malformed
-from ..transport.const import ONE_CONNECTION_ONLY
+from ..transport.const import HOP_BY_HOP_HEADERS
 from ..transport.models import AnswerHead, Header, Request
 
 REQUEST_ID_HEADER: Final = b"x-request-id"
@@ -155,7 +155,7 @@
             if name.lower() == b"connection"
             for token in value.split(b",")
         }
-        return ONE_CONNECTION_ONLY | NODE_SET_HEADERS | (listed_names - REQUIRED_HEADERS)
+        return HOP_BY_HOP_HEADERS | NODE_SET_HEADERS | (listed_names - REQUIRED_HEADERS)
 
 
 def _parse_retry_after_ms(value: bytes | None) -> int | None:
--- a/monsoonflow/platform/store.py
+++ b/monsoonflow/platform/store.py
@@ -24,7 +24,7 @@
     Transaction,
     Unavailable,
 )
-from ..transport.client import Answer, Pools, ServerConnection, call
+from ..transport.client import Answer, ConnectionPools, ServerConnection, call
 from ..transport.models import Lost
 
 _LOGGER = logging.getLogger(__name__)
@@ -46,7 +46,7 @@
 
     def __init__(self, address: str, clock: Clock) -> None:
         self._address = address
-        self._pools = Pools(clock, max_idle=4)
+        self._pools = ConnectionPools(clock, max_idle=4)
         self.call_count = 0
         self._feed_connection: ServerConnection | None = None
         self._is_feed_cancelled = False
@@ -191,7 +191,7 @@
             body,
             timeout_ms,
             headers,
-            on_taken=on_connection,
+            on_acquired=on_connection,
         )
 
 
--- a/monsoonflow/quarantine/crash_probe.py
+++ b/monsoonflow/quarantine/crash_probe.py
@@ -9,7 +9,7 @@
 
 from ..core.clock import Clock
 from ..core.server_life import ServerLife
-from ..transport.client import Pools
+from ..transport.client import ConnectionPools
 from ..transport.models import Lost
 
 PROBE_TIMEOUT_MS: Final = 250
@@ -28,7 +28,7 @@
 class CrashProbe:
     """Connects to a server's port, which refuses if the server's process has ended."""
 
-    def __init__(self, pools: Pools, clock: Clock) -> None:
+    def __init__(self, pools: ConnectionPools, clock: Clock) -> None:
         self._pools = pools
         self._clock = clock
         self._probe_by_life: dict[ServerLife, _Probe] = {}
--- a/monsoonflow/transport/client.py
+++ b/monsoonflow/transport/client.py
@@ -15,12 +15,12 @@
 from .codec import AnswerReader
 from .const import CONNECT_TIMEOUT_MS, READ_BYTES
 from .models import AnswerHead, BrokenAnswer, Header, Lost
-from .sockets import connect, readable_now, split_address
+from .sockets import connect, is_readable, split_address
 
-KEPT_MS: Final = 4_000
+DEFAULT_MAX_IDLE_MS: Final = 4_000
 """Longest rest of a kept connection where the server names none: under the usual five seconds."""
 
-KEPT_SHARE: Final = 0.85
+KEEP_ALIVE_SHARE: Final = 0.85
 """Share of the rest that a server grants which is used: a request must not cross its close.
 
 A connection that rested may have gone silent, and a request on it would be lost. Probes end a
@@ -40,64 +40,64 @@
         self._reader = AnswerReader()
         self._sender: gevent.Greenlet | None = None
         self._eof = False
-        self.rested_at_ms = clock.now_ms()
-        self.keep_ms = float(KEPT_MS)
-        self.served = 0
+        self.idle_since_ms = clock.now_ms()
+        self.max_idle_ms = float(DEFAULT_MAX_IDLE_MS)
+        self.request_count = 0
 
-    def send(self, head: bytes, body: bytes, no_answer_body: bool = False) -> None:
+    def send(self, head: bytes, body: bytes, is_head_request: bool = False) -> None:
         """Send a request.
 
         :raises OSError: when it can't be sent whole; the server may still have received it.
         """
-        if no_answer_body:
+        if is_head_request:
             self._reader.expect_no_body()
-        self.served += 1
+        self.request_count += 1
         if len(body) > BACKGROUND_BODY_BYTES:
-            self._sender = gevent.spawn(self._send_quietly, head + body)
+            self._sender = gevent.spawn(self._send_in_background, head + body)
             return
         self._sock.settimeout(2.0)
         self._sock.sendall(head + body)
 
-    def _send_quietly(self, data: bytes) -> bool:
+    def _send_in_background(self, data: bytes) -> bool:
         try:
             self._sock.sendall(data)
         except OSError:
             return False
         return True
 
-    def read_head(self, until_ms: int) -> AnswerHead:
+    def read_head(self, deadline_ms: int) -> AnswerHead:
         """Return the head of the next answer.
 
         :raises TimeoutError: when it is not there in time.
         :raises OSError: when the connection broke.
         :raises BrokenAnswer: when the bytes are no answer.
         """
-        while not self._reader.messages:
-            self._receive(until_ms)
-        return self._reader.messages[0].head
+        while not self._reader.answers:
+            self._receive(deadline_ms)
+        return self._reader.answers[0].head
 
-    def read_piece(self, until_ms: int) -> bytes | None:
+    def read_piece(self, deadline_ms: int) -> bytes | None:
         """Return the next bytes of the body, as they come; ``None`` at its end.
 
         :raises TimeoutError: when nothing comes in time.
         :raises OSError: when the connection broke.
         :raises BrokenAnswer: when the body ends before its end.
         """
-        incoming = self._reader.messages[0]
+        incoming = self._reader.answers[0]
         while not incoming.pieces:
-            if incoming.complete:
-                self._reader.messages.popleft()
+            if incoming.is_complete:
+                self._reader.answers.popleft()
                 return None
-            self._receive(until_ms)
+            self._receive(deadline_ms)
         pieces = incoming.pieces
         data = pieces.popleft() if len(pieces) == 1 else b"".join(pieces)
         pieces.clear()
         return data
 
-    def _receive(self, until_ms: int) -> None:
+    def _receive(self, deadline_ms: int) -> None:
         if self._eof:
             raise BrokenAnswer("the connection ended inside the answer")
-        left_ms = until_ms - self._clock.now_ms()
+        left_ms = deadline_ms - self._clock.now_ms()
         if left_ms <= 0:
             raise TimeoutError
         self._sock.settimeout(left_ms / 1000)
@@ -106,27 +106,27 @@
             self._reader.feed(data)
             return
         self._eof = True
-        self._reader.closed()
-        if not self._reader.messages or not self._reader.messages[0].complete:
+        self._reader.handle_eof()
+        if not self._reader.answers or not self._reader.answers[0].is_complete:
             raise BrokenAnswer("the connection ended inside the answer")
 
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Tell whether another request may follow on this connection.
 
         A connection with bytes left over is never used again: they belong to no request, and the
         next caller would get them for its answer.
         """
         sent = self._sender is None or (self._sender.ready() and bool(self._sender.value))
-        return sent and not self._eof and self._reader.keep_alive and self._reader.clean
+        return sent and not self._eof and self._reader.keep_alive and self._reader.is_clean
 
-    def stale(self, now_ms: int) -> bool:
+    def is_stale(self, now_ms: int) -> bool:
         """Tell whether the connection rested too long or something came while it rested."""
-        rest_ms = now_ms - self.rested_at_ms
-        return rest_ms > self.keep_ms or readable_now(self._sock)
+        rest_ms = now_ms - self.idle_since_ms
+        return rest_ms > self.max_idle_ms or is_readable(self._sock)
 
-    def rest(self, head: AnswerHead) -> None:
+    def mark_idle(self, head: AnswerHead) -> None:
         """Note how long the server keeps the connection, before it goes back to its pool."""
-        self.rested_at_ms = self._clock.now_ms()
+        self.idle_since_ms = self._clock.now_ms()
         self._sender = None
         told = head.value(b"keep-alive")
         if told is None:
@@ -134,7 +134,7 @@
         for part in told.split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
-                self.keep_ms = int(value) * 1000 * KEPT_SHARE
+                self.max_idle_ms = int(value) * 1000 * KEEP_ALIVE_SHARE
 
     def close(self) -> None:
         """End the connection at once, whatever is in progress on it."""
@@ -144,7 +144,7 @@
 
 
 @attrs.define(slots=True)
-class Pools:
+class ConnectionPools:
     """Keeps connections that rest, by server.
 
     :param max_idle: resting connections a server.
@@ -152,10 +152,10 @@
 
     clock: Clock
     max_idle: int = 64
-    opened: int = 0
+    opened_count: int = 0
     _idle_by_key: dict[str, deque[ServerConnection]] = attrs.Factory(dict)
 
-    def take(
+    def acquire(
         self,
         key: str,
         address: str,
@@ -169,7 +169,7 @@
         idle = self._idle_by_key.get(key)
         while idle:
             connection = idle.pop()
-            if not connection.stale(now_ms):
+            if not connection.is_stale(now_ms):
                 return connection
             connection.close()
         return self.open(address, timeout_ms)
@@ -191,28 +191,28 @@
         except OSError as error:
             refused = isinstance(error, ConnectionRefusedError)
             return Lost(False, f"no connection: {type(error).__name__}", refused)
-        self.opened += 1
+        self.opened_count += 1
         return ServerConnection(sock, self.clock)
 
-    def give_back(self, key: str, connection: ServerConnection, head: AnswerHead) -> None:
+    def release(self, key: str, connection: ServerConnection, head: AnswerHead) -> None:
         """Keep a connection whose answer was read to its end, or close it."""
         idle = self._idle_by_key.setdefault(key, deque())
-        if not connection.reusable() or len(idle) >= self.max_idle:
+        if not connection.is_reusable() or len(idle) >= self.max_idle:
             connection.close()
             return
-        connection.rest(head)
+        connection.mark_idle(head)
         idle.append(connection)
 
-    def forget(self, key: str) -> None:
+    def close_idle(self, key: str) -> None:
         """Close the resting connections to a server that is gone."""
         for connection in self._idle_by_key.pop(key, ()):
             connection.close()
 
-    def sweep(self) -> None:
+    def close_stale(self) -> None:
         """Close what rested too long."""
         now_ms = self.clock.now_ms()
         for key, idle in list(self._idle_by_key.items()):
-            kept = deque(c for c in idle if not c.stale(now_ms))
+            kept = deque(c for c in idle if not c.is_stale(now_ms))
             for connection in idle:
                 if connection not in kept:
                     connection.close()
@@ -231,7 +231,7 @@
 
 
 def call(
-    pools: Pools,
+    pools: ConnectionPools,
     address: str,
     method: str,
     target: str,
@@ -239,17 +239,17 @@
     timeout_ms: int,
     headers: tuple[Header, ...] = (),
     host: str | None = None,
-    on_taken: Callable[[ServerConnection], None] = lambda _: None,
+    on_acquired: Callable[[ServerConnection], None] = lambda _: None,
 ) -> Answer | Lost:
     """Make one control call and read its whole answer.
 
-    :param on_taken: takes the connection, which another task may close to end the call.
+    :param on_acquired: takes the connection, which another task may close to end the call.
     """
     until_ms = pools.clock.now_ms() + timeout_ms
-    connection = pools.take(address, address, timeout_ms=min(timeout_ms, CONNECT_TIMEOUT_MS))
+    connection = pools.acquire(address, address, timeout_ms=min(timeout_ms, CONNECT_TIMEOUT_MS))
     if isinstance(connection, Lost):
         return connection
-    on_taken(connection)
+    on_acquired(connection)
     lines = [f"{method} {target} HTTP/1.1".encode(), b"Host: " + (host or address).encode()]
     lines += [b"%s: %s" % header for header in headers]
     if body or method in ("POST", "PUT"):
@@ -266,5 +266,5 @@
     except BaseException:
         connection.close()
         raise
-    pools.give_back(address, connection, head)
+    pools.release(address, connection, head)
     return Answer(head, b"".join(pieces))
--- a/monsoonflow/transport/codec.py
+++ b/monsoonflow/transport/codec.py
@@ -13,12 +13,12 @@
     BadMessage,
     BrokenAnswer,
     Header,
-    Incoming,
+    IncomingAnswer,
     MessageLimits,
     Request,
 )
 
-BODILESS: Final = frozenset({204, 304})
+BODILESS_STATUSES: Final = frozenset({204, 304})
 
 
 class RequestReader:
@@ -31,13 +31,13 @@
 
     def __init__(self, limits: MessageLimits) -> None:
         self.limits = limits
-        self.ready: deque[Request] = deque()
-        self.begun = False
+        self.complete_requests: deque[Request] = deque()
+        self.has_begun = False
         self.wants_continue = False
         self._now_ms = 0
         self._head_bytes = 0
-        self._head_done = False
-        self._problem: BadMessage | None = None
+        self._is_head_complete = False
+        self._error: BadMessage | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._target: list[bytes] = []
         self._headers: list[Header] = []
@@ -46,9 +46,9 @@
         self._arrived_ms = 0
 
     @property
-    def head_pending(self) -> bool:
+    def is_head_pending(self) -> bool:
         """Tell whether a request has begun whose head is not complete."""
-        return self.begun and not self._head_done
+        return self.has_begun and not self._is_head_complete
 
     def feed(self, data: bytes, now_ms: int) -> None:
         """Take bytes.
@@ -56,24 +56,24 @@
         :raises BadMessage: when they are refused; nothing more may be fed then.
         """
         self._now_ms = now_ms
-        was_in_head = not self._head_done
+        was_in_head = not self._is_head_complete
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._problem = self._problem or BadMessage(400, "upgrades are not offered")
+            self._error = self._error or BadMessage(400, "upgrades are not offered")
         except httptools.HttpParserError as error:
-            self._problem = self._problem or BadMessage(400, str(error))
-        if self._problem is None and was_in_head and not self._head_done and self.begun:
+            self._error = self._error or BadMessage(400, str(error))
+        if self._error is None and was_in_head and not self._is_head_complete and self.has_begun:
             self._head_bytes += len(data)
             if self._head_bytes > self.limits.head_bytes:
-                self._problem = BadMessage(431, "the head is too large")
-        if self._problem is not None:
-            raise self._problem
+                self._error = BadMessage(431, "the head is too large")
+        if self._error is not None:
+            raise self._error
 
     def on_message_begin(self) -> None:
         """Begin a message."""
-        self.begun = True
-        self._head_done = False
+        self.has_begun = True
+        self._is_head_complete = False
         self._head_bytes = 0
         self._arrived_ms = self._now_ms
         self._target = []
@@ -88,12 +88,12 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header."""
         # Trailers come the same way after the body; they concern one connection only.
-        if not self._head_done:
+        if not self._is_head_complete:
             self._headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
         """Take the end of the head."""
-        self._head_done = True
+        self._is_head_complete = True
         head_bytes = sum(len(name) + len(value) + 4 for name, value in self._headers)
         if head_bytes + sum(map(len, self._target)) > self.limits.head_bytes:
             self._refuse(431, "the head is too large")
@@ -109,12 +109,12 @@
 
     def on_message_complete(self) -> None:
         """Take the end of a message."""
-        self.begun = False
-        self._head_done = False
+        self.has_begun = False
+        self._is_head_complete = False
         self.wants_continue = False
-        if self._problem is not None:
+        if self._error is not None:
             return
-        self.ready.append(
+        self.complete_requests.append(
             Request(
                 self._parser.get_method(),
                 b"".join(self._target),
@@ -127,7 +127,7 @@
         )
 
     def _refuse(self, status: int, reason: str) -> None:
-        self._problem = self._problem or BadMessage(status, reason)
+        self._error = self._error or BadMessage(status, reason)
 
     def _check_head(self) -> None:
         named: dict[bytes, list[bytes]] = {}
@@ -144,14 +144,14 @@
             self._refuse(400, "the only coding taken is chunked")
         elif b"upgrade" in named:
             self._refuse(400, "upgrades are not offered")
-        elif self._told_length(named) > self.limits.body_bytes:
+        elif self._declared_length(named) > self.limits.body_bytes:
             self._refuse(413, "the body is too large")
         self.wants_continue = b"100-continue" in [
             value.lower() for value in named.get(b"expect", [])
         ]
 
     @staticmethod
-    def _told_length(named: dict[bytes, list[bytes]]) -> int:
+    def _declared_length(named: dict[bytes, list[bytes]]) -> int:
         told = named.get(b"content-length", [b"0"])[0]
         return int(told) if told.isdigit() else 0
 
@@ -160,59 +160,59 @@
     """Turns a server's bytes into answers, in the order in which they come."""
 
     def __init__(self) -> None:
-        self.messages: deque[Incoming] = deque()
-        self.begun = False
+        self.answers: deque[IncomingAnswer] = deque()
+        self.has_begun = False
         self.keep_alive = False
-        self.broken: str | None = None
-        self._bodiless = False
-        self._interim = 0
+        self.error: str | None = None
+        self._is_head_request = False
+        self._interim_count = 0
         self._head_bytes = 0
         self._parser = httptools.HttpResponseParser(self)
         self._reason = b""
         self._headers: list[Header] = []
-        self._head_done = False
+        self._is_head_complete = False
 
     def expect_no_body(self) -> None:
         """Say that the next answer is to a HEAD request."""
-        self._bodiless = True
+        self._is_head_request = True
 
     def feed(self, data: bytes) -> None:
         """Take bytes.
 
         :raises BrokenAnswer: when they are no answer; what was complete before stays so.
         """
-        if self.broken is not None:
-            raise BrokenAnswer(self.broken)
-        if not self._head_done:
+        if self.error is not None:
+            raise BrokenAnswer(self.error)
+        if not self._is_head_complete:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.broken = "the server switched protocols"
+            self.error = "the server switched protocols"
         except httptools.HttpParserError as error:
-            self.broken = str(error)
-        if not self._head_done and self._head_bytes > MAX_ANSWER_HEAD_BYTES + len(data):
-            self.broken = "the head never ends"
-        if self.broken is not None and not (self.messages and self.messages[0].complete):
-            raise BrokenAnswer(self.broken)
+            self.error = str(error)
+        if not self._is_head_complete and self._head_bytes > MAX_ANSWER_HEAD_BYTES + len(data):
+            self.error = "the head never ends"
+        if self.error is not None and not (self.answers and self.answers[0].is_complete):
+            raise BrokenAnswer(self.error)
 
-    def closed(self) -> None:
+    def handle_eof(self) -> None:
         """Take the orderly end of the connection; it completes an answer without a length."""
-        if not self.messages:
+        if not self.answers:
             return
-        last = self.messages[-1]
-        if not last.complete and last.head.length is None and not last.head.chunked:
-            last.complete = True
+        last = self.answers[-1]
+        if not last.is_complete and last.head.length is None and not last.head.chunked:
+            last.is_complete = True
 
     @property
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         """Tell whether nothing came after the answers that were read."""
-        return self.broken is None and not self.begun and not self.messages
+        return self.error is None and not self.has_begun and not self.answers
 
     def on_message_begin(self) -> None:
         """Begin a message."""
-        self.begun = True
-        self._head_done = False
+        self.has_begun = True
+        self._is_head_complete = False
         self._reason = b""
         self._headers = []
 
@@ -222,12 +222,12 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header."""
-        if not self._head_done:
+        if not self._is_head_complete:
             self._headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
         """Take the end of the head."""
-        self._head_done = True
+        self._is_head_complete = True
         self._head_bytes = 0
         status = self._parser.get_status_code()
         if 100 <= status < 200:
@@ -236,29 +236,29 @@
         codings = [value for name, value in self._headers if name.lower() == b"transfer-encoding"]
         if codings and [coding.lower() for coding in codings] != [b"chunked"]:
             # The head is not taken: no answer begins, and feed reports what is wrong.
-            self.broken = "a coding other than chunked"
+            self.error = "a coding other than chunked"
             return
         length = int(lengths[0]) if lengths and lengths[0].isdigit() else None
-        if status in BODILESS or self._bodiless:
+        if status in BODILESS_STATUSES or self._is_head_request:
             length = 0
         head = AnswerHead(status, self._reason, self._headers, length, bool(codings))
-        self.messages.append(Incoming(head, complete=self._bodiless))
+        self.answers.append(IncomingAnswer(head, is_complete=self._is_head_request))
 
     def on_body(self, piece: bytes) -> None:
         """Take a part of the body."""
-        if self.messages and not self.messages[-1].complete:
-            self.messages[-1].pieces.append(piece)
+        if self.answers and not self.answers[-1].is_complete:
+            self.answers[-1].pieces.append(piece)
 
     def on_message_complete(self) -> None:
         """Take the end of a message."""
-        self.begun = False
-        self._head_done = False
+        self.has_begun = False
+        self._is_head_complete = False
         if 100 <= self._parser.get_status_code() < 200:
-            self._interim += 1
-            if self._interim > MAX_INTERIM_ANSWERS:
-                self.broken = "too many informational answers"
+            self._interim_count += 1
+            if self._interim_count > MAX_INTERIM_ANSWERS:
+                self.error = "too many informational answers"
             return
-        if not self.messages:
+        if not self.answers:
             return
-        self.keep_alive = self._parser.should_keep_alive() and not self._bodiless
-        self.messages[-1].complete = True
+        self.keep_alive = self._parser.should_keep_alive() and not self._is_head_request
+        self.answers[-1].is_complete = True
--- a/monsoonflow/transport/models.py
+++ b/monsoonflow/transport/models.py
@@ -81,12 +81,12 @@
 
 
 @attrs.define(slots=True)
-class Incoming:
+class IncomingAnswer:
     """An answer as it comes in."""
 
     head: AnswerHead
     pieces: deque[bytes] = attrs.Factory(deque)
-    complete: bool = False
+    is_complete: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/monsoonflow/transport/server.py
+++ b/monsoonflow/transport/server.py
@@ -14,20 +14,20 @@
 
 from ..core.clock import Clock
 from ..logs import events, log
-from .codec import BODILESS, RequestReader
+from .codec import BODILESS_STATUSES, RequestReader
 from .const import (
-    BACKLOG,
     LINGER_MS,
-    MAX_BEGUN_BYTES,
+    LISTEN_BACKLOG,
+    MAX_PENDING_BYTES,
     READ_BYTES,
     WRITE_TIMEOUT_MS,
 )
 from .models import BadMessage, CallerLeft, Header, MessageLimits, Request
-from .sockets import split_address, tune
+from .sockets import set_socket_options, split_address
 
 _LOGGER = logging.getLogger(__name__)
-IDLE_CHECK_S = 0.02
-REASONS = {
+IDLE_CHECK_INTERVAL_S = 0.02
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -46,20 +46,20 @@
 class Reply:
     """Writes the one answer to a request."""
 
-    def __init__(self, connection: Connection) -> None:
+    def __init__(self, connection: CallerConnection) -> None:
         self._connection = connection
         self._chunked = False
-        self._left: int | None = None
+        self._remaining_bytes: int | None = None
         self.started = False
         self.finished = False
         self.status = 0
         self.sent_bytes = 0
 
-    def caller_left(self) -> bool:
+    def has_caller_left(self) -> bool:
         """Tell whether the caller has closed its connection since it asked."""
-        return self._connection.has_ended()
+        return self._connection.is_closed_by_caller()
 
-    def whole(
+    def send_whole(
         self, status: int, headers: list[Header], body: bytes = b"", reason: bytes | None = None
     ) -> None:
         """Send a whole answer in one write."""
@@ -78,26 +78,26 @@
 
         :param length: of the whole body; ``None`` sends it in chunks.
         """
-        text = REASONS.get(status, b"") if reason is None else reason
+        text = REASON_PHRASES.get(status, b"") if reason is None else reason
         told = list(headers)
         self._chunked = length is None
-        self._left = length
+        self._remaining_bytes = length
         if length is None:
             told.append((b"Transfer-Encoding", b"chunked"))
-        elif status not in BODILESS:
+        elif status not in BODILESS_STATUSES:
             told.append((b"Content-Length", b"%d" % length))
-        self._send_head(status, text, told, self._framed(body))
+        self._send_head(status, text, told, self._frame(body))
 
-    def without_body(
+    def send_without_body(
         self, status: int, headers: list[Header], length: int | None, reason: bytes | None = None
     ) -> None:
         """Send an answer that has no body by its kind: one to a HEAD request, 204 or 304.
 
         :param length: of the body that a GET request would get; told where it is known.
         """
-        text = REASONS.get(status, b"") if reason is None else reason
+        text = REASON_PHRASES.get(status, b"") if reason is None else reason
         told = list(headers)
-        if length is not None and status not in BODILESS:
+        if length is not None and status not in BODILESS_STATUSES:
             told.append((b"Content-Length", b"%d" % length))
         self._send_head(status, text, told)
         self.finished = True
@@ -105,22 +105,22 @@
     def write(self, data: bytes) -> None:
         """Send body bytes."""
         if data:
-            self._send(self._framed(data))
+            self._send(self._frame(data))
 
     def finish(self) -> None:
         """Mark the answer as whole."""
         if self._chunked:
             self._send(b"0\r\n\r\n")
-        elif self._left:
+        elif self._remaining_bytes:
             raise ValueError("the answer is shorter than told")
         self.finished = True
 
-    def check_caller(self) -> None:
+    def raise_if_caller_left(self) -> None:
         """Look whether the caller still waits, where nobody may have looked yet.
 
         :raises CallerLeft: when it has closed its connection.
         """
-        if self._connection.has_ended():
+        if self._connection.is_closed_by_caller():
             raise CallerLeft("closed")
 
     def _send_head(
@@ -128,15 +128,15 @@
     ) -> None:
         lines = [b"HTTP/1.1 %d %s" % (status, reason)]
         lines += [b"%s: %s" % header for header in headers]
-        lines.append(self._connection.kept_header())
+        lines.append(self._connection.connection_header())
         self.started = True
         self.status = status
         self._send(b"\r\n".join(lines) + b"\r\n\r\n" + rest)
 
-    def _framed(self, data: bytes) -> bytes:
+    def _frame(self, data: bytes) -> bytes:
         self.sent_bytes += len(data)
-        if self._left is not None:
-            self._left -= len(data)
+        if self._remaining_bytes is not None:
+            self._remaining_bytes -= len(data)
         if self._chunked and data:
             return b"%x\r\n%s\r\n" % (len(data), data)
         return data
@@ -146,29 +146,29 @@
 
 
 Handler: TypeAlias = Callable[[Request, Reply], None]
-Refusal: TypeAlias = Callable[[BadMessage], tuple[bytes, bytes]]
+RefusalFormatter: TypeAlias = Callable[[BadMessage], tuple[bytes, bytes]]
 
 
-def plain_refusal(error: BadMessage) -> tuple[bytes, bytes]:
+def plain_text_refusal(error: BadMessage) -> tuple[bytes, bytes]:
     """Return content type and body of the answer to a message that is not taken."""
     return b"text/plain", error.reason.encode()
 
 
-class Connection:
+class CallerConnection:
     """One caller's connection."""
 
-    def __init__(self, sock: socket.socket, port: Port) -> None:
+    def __init__(self, sock: socket.socket, port: HttpServer) -> None:
         self._sock = sock
         self._port = port
         self._reader = RequestReader(port.limits())
-        self._close_after = False
+        self._close_after_answer = False
         self._pending = b""
-        self._ended = False
+        self._is_closed = False
 
     def serve(self) -> None:
         """Serve requests until one side ends the connection."""
         try:
-            tune(self._sock)
+            set_socket_options(self._sock)
             while self._serve_one():
                 pass
         except BadMessage as error:
@@ -178,10 +178,10 @@
         finally:
             self._sock.close()
 
-    def kept_header(self) -> bytes:
+    def connection_header(self) -> bytes:
         """Return what the answer says about keeping the connection."""
-        if self._close_after or not self._port.keeps:
-            self._close_after = True
+        if self._close_after_answer or not self._port.keeps_alive:
+            self._close_after_answer = True
             return b"Connection: close"
         return b"Keep-Alive: timeout=%d" % (self._reader.limits.idle_ms // 1000)
 
@@ -200,31 +200,31 @@
         request = self._next_request()
         if request is None:
             return False
-        self._close_after = not request.keep_alive
+        self._close_after_answer = not request.keep_alive
         reply = Reply(self)
-        self._port.active += 1
+        self._port.active_count += 1
         try:
             self._handle(request, reply)
         finally:
-            self._port.active -= 1
+            self._port.active_count -= 1
         if not reply.finished:
             # Without its proper end the answer can't look complete to the caller.
             return False
-        if self._close_after:
-            self._end_writing()
+        if self._close_after_answer:
+            self._close_gracefully()
             return False
         return True
 
     def _handle(self, request: Request, reply: Reply) -> None:
         if request.version != "1.1":
-            self._close_after = True
-            reply.whole(505, [])
+            self._close_after_answer = True
+            reply.send_whole(505, [])
             return
         if not self._port.ends_with_caller:
             self._call_handler(request, reply)
             return
         watcher = gevent.get_hub().loop.io(self._sock.fileno(), 1)
-        watcher.start(self._readable, gevent.getcurrent(), watcher)
+        watcher.start(self._on_readable, gevent.getcurrent(), watcher)
         try:
             self._call_handler(request, reply)
         finally:
@@ -240,10 +240,10 @@
             log(_LOGGER, events.HandlerFailed(self._port.address, repr(error)))
             _LOGGER.exception("event=handler_trace")
             if not reply.started:
-                self._close_after = True
-                reply.whole(500, [])
+                self._close_after_answer = True
+                reply.send_whole(500, [])
 
-    def _readable(self, handler: gevent.Greenlet, watcher: object) -> None:
+    def _on_readable(self, handler: gevent.Greenlet, watcher: object) -> None:
         """Notice a caller that leaves while its request is being served."""
         try:
             data = self._sock._sock.recv(READ_BYTES, native.MSG_DONTWAIT)  # noqa: SLF001
@@ -253,16 +253,16 @@
             data = b""
         if data:
             self._pending += data
-            if len(self._pending) > MAX_BEGUN_BYTES:
+            if len(self._pending) > MAX_PENDING_BYTES:
                 watcher.stop()  # type: ignore[attr-defined]
             return
         watcher.stop()  # type: ignore[attr-defined]
-        self._ended = True
+        self._is_closed = True
         handler.kill(CallerLeft("closed"), block=False)
 
-    def has_ended(self) -> bool:
+    def is_closed_by_caller(self) -> bool:
         """Tell whether the caller has closed the connection; reads nothing and doesn't wait."""
-        if self._ended:
+        if self._is_closed:
             return True
         try:
             return not self._sock._sock.recv(  # noqa: SLF001
@@ -275,25 +275,25 @@
 
     def _next_request(self) -> Request | None:
         reader = self._reader
-        while not reader.ready:
+        while not reader.complete_requests:
             data, self._pending = self._pending, b""
             if not data:
                 data = self._read()
             if not data:
                 return None
             reader.feed(data, self._port.clock.now_ms())
-            if reader.wants_continue and not reader.ready:
+            if reader.wants_continue and not reader.complete_requests:
                 reader.wants_continue = False
                 self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
-        return reader.ready.popleft()
+        return reader.complete_requests.popleft()
 
     def _read(self) -> bytes:
         reader = self._reader
-        begun = reader.begun
+        begun = reader.has_begun
         limit_ms = reader.limits.head_ms if begun else reader.limits.idle_ms + 1_000
         self._sock.settimeout(limit_ms / 1000)
         if not begun:
-            self._port.idle.add(self)
+            self._port.idle_connections.add(self)
         try:
             return self._sock.recv(READ_BYTES)
         except TimeoutError:
@@ -301,20 +301,20 @@
                 raise BadMessage(408, "the request did not come in time") from None
             return b""
         finally:
-            self._port.idle.discard(self)
+            self._port.idle_connections.discard(self)
 
     def _refuse(self, error: BadMessage) -> None:
         """Answer what can't be taken and close; nothing of it is passed on."""
-        self._close_after = True
+        self._close_after_answer = True
         log(_LOGGER, events.BadMessage(status=error.status, cause=error.reason))
         try:
             content_type, body = self._port.refusal(error)
-            Reply(self).whole(error.status, [(b"Content-Type", content_type)], body)
-            self._end_writing()
+            Reply(self).send_whole(error.status, [(b"Content-Type", content_type)], body)
+            self._close_gracefully()
         except (CallerLeft, OSError):
             return
 
-    def _end_writing(self) -> None:
+    def _close_gracefully(self) -> None:
         """Close in an order that lets the caller read the last answer.
 
         Closing with unread bytes resets the connection, and the reset may overtake the answer.
@@ -335,7 +335,7 @@
             return
 
 
-class Port:
+class HttpServer:
     """Listens at one address.
 
     :param limits: returns the limits for new connections.
@@ -352,7 +352,7 @@
         clock: Clock,
         tls: ssl.SSLContext | None = None,
         ends_with_caller: bool = True,
-        refusal: Refusal = plain_refusal,
+        refusal: RefusalFormatter = plain_text_refusal,
     ) -> None:
         self.address = address
         self.handler = handler
@@ -360,12 +360,12 @@
         self.clock = clock
         self.refusal = refusal
         self.ends_with_caller = ends_with_caller
-        self.keeps = True
-        self.active = 0
-        self.idle: set[Connection] = set()
+        self.keeps_alive = True
+        self.active_count = 0
+        self.idle_connections: set[CallerConnection] = set()
         extra = {"ssl_context": tls} if tls is not None else {}
         self._server = StreamServer(
-            split_address(address), self._accepted, backlog=BACKLOG, **extra
+            split_address(address), self._serve_connection, backlog=LISTEN_BACKLOG, **extra
         )
 
     def start(self) -> bool:
@@ -377,21 +377,21 @@
             return False
         return True
 
-    def stop_keeping(self) -> None:
+    def stop_keep_alive(self) -> None:
         """Answer from now on with the word that the connection ends."""
-        self.keeps = False
+        self.keeps_alive = False
 
     def stop_listening(self) -> None:
         """Take no new connections and end those that wait."""
         self._server.close()
-        for connection in list(self.idle):
+        for connection in list(self.idle_connections):
             connection.close_idle()
 
-    def wait_until_idle(self, at_most_ms: int) -> None:
+    def wait_until_idle(self, timeout_ms: int) -> None:
         """Wait until no request is being served."""
-        until_ms = self.clock.now_ms() + at_most_ms
-        while self.active and self.clock.now_ms() < until_ms:
-            gevent.sleep(IDLE_CHECK_S)
+        until_ms = self.clock.now_ms() + timeout_ms
+        while self.active_count and self.clock.now_ms() < until_ms:
+            gevent.sleep(IDLE_CHECK_INTERVAL_S)
 
-    def _accepted(self, sock: socket.socket, _peer: tuple) -> None:
-        Connection(sock, self).serve()
+    def _serve_connection(self, sock: socket.socket, _peer: tuple) -> None:
+        CallerConnection(sock, self).serve()
--- a/monsoonflow/transport/sockets.py
+++ b/monsoonflow/transport/sockets.py
@@ -9,10 +9,10 @@
 
 from .const import (
     CONNECT_TIMEOUT_MS,
-    KEEPALIVE_EVERY_S,
     KEEPALIVE_IDLE_S,
+    KEEPALIVE_INTERVAL_S,
     KEEPALIVE_PROBES,
-    SILENCE_MS,
+    USER_TIMEOUT_MS,
 )
 
 
@@ -27,7 +27,7 @@
     return host.strip("[]"), int(port)
 
 
-def tune(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """Set the options of every connection.
 
     Without the user timeout a machine without power holds a request until its deadline; without the
@@ -36,9 +36,9 @@
     sock.setsockopt(native.IPPROTO_TCP, native.TCP_NODELAY, 1)
     sock.setsockopt(native.SOL_SOCKET, native.SO_KEEPALIVE, 1)
     sock.setsockopt(native.IPPROTO_TCP, native.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    sock.setsockopt(native.IPPROTO_TCP, native.TCP_KEEPINTVL, KEEPALIVE_EVERY_S)
+    sock.setsockopt(native.IPPROTO_TCP, native.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(native.IPPROTO_TCP, native.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(native.IPPROTO_TCP, native.TCP_USER_TIMEOUT, SILENCE_MS)
+    sock.setsockopt(native.IPPROTO_TCP, native.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 def connect(address: str, timeout_ms: int = CONNECT_TIMEOUT_MS) -> socket.socket:
@@ -48,7 +48,7 @@
     """
     sock = socket.socket(native.AF_INET, native.SOCK_STREAM)
     try:
-        tune(sock)
+        set_socket_options(sock)
         sock.settimeout(max(0.001, timeout_ms / 1000))
         sock.connect(split_address(address))
     except BaseException:
@@ -57,7 +57,7 @@
     return sock
 
 
-def readable_now(sock: socket.socket) -> bool:
+def is_readable(sock: socket.socket) -> bool:
     """Tell whether bytes, an end or an error wait on a connection that should be quiet."""
     try:
         sock._sock.recv(1, native.MSG_PEEK | native.MSG_DONTWAIT)  # noqa: SLF001
--- a/monsoonflow/transport/wsgi.py
+++ b/monsoonflow/transport/wsgi.py
@@ -16,7 +16,7 @@
 
 from ..core.clock import MonotonicClock
 from .models import Header, MessageLimits, Request
-from .server import Port, Refusal, Reply, plain_refusal
+from .server import HttpServer, RefusalFormatter, Reply, plain_text_refusal
 from .sockets import split_address
 
 Environ: TypeAlias = dict[str, Any]
@@ -29,7 +29,7 @@
 """Key of the headers in their order: WSGI merges those of one name."""
 
 BODILESS_STATUSES: Final = frozenset({204, 304})
-USUAL_LIMITS: Final = MessageLimits(head_bytes=32_768, body_bytes=1 << 28, idle_ms=60_000)
+DEFAULT_LIMITS: Final = MessageLimits(head_bytes=32_768, body_bytes=1 << 28, idle_ms=60_000)
 
 
 class AnswerCut(Exception):
@@ -40,9 +40,9 @@
     address: str,
     app: Application,
     tls: ssl.SSLContext | None = None,
-    limits: MessageLimits = USUAL_LIMITS,
-    refusal: Refusal = plain_refusal,
-) -> Port | None:
+    limits: MessageLimits = DEFAULT_LIMITS,
+    refusal: RefusalFormatter = plain_text_refusal,
+) -> HttpServer | None:
     """Start to serve an application.
 
     A caller that leaves does not end its handler: what the application has begun goes on, and the
@@ -52,7 +52,7 @@
     """
     handler = WsgiHandler(app, address, "https" if tls is not None else "http")
     clock = MonotonicClock()
-    port = Port(address, handler, lambda: limits, clock, tls, False, refusal)
+    port = HttpServer(address, handler, lambda: limits, clock, tls, False, refusal)
     return port if port.start() else None
 
 
@@ -61,7 +61,7 @@
 
     def __init__(self, app: Application, address: str, scheme: str) -> None:
         self._app = app
-        self._host, self._number = split_address(address)
+        self._host, self._port = split_address(address)
         self._scheme = scheme
 
     def __call__(self, request: Request, reply: Reply) -> None:
@@ -104,7 +104,7 @@
             else:
                 told.append((name.encode("latin-1"), value.encode("latin-1")))
         if request.method == b"HEAD" or int(code) in BODILESS_STATUSES:
-            reply.without_body(int(code), told, length, reason.encode("latin-1"))
+            reply.send_without_body(int(code), told, length, reason.encode("latin-1"))
             return
         reply.begin(int(code), told, length, reason.encode("latin-1"), first)
         for piece in source:
@@ -119,7 +119,7 @@
             "PATH_INFO": unquote_to_bytes(path).decode("latin-1"),
             "QUERY_STRING": query.decode("latin-1"),
             "SERVER_NAME": self._host,
-            "SERVER_PORT": str(self._number),
+            "SERVER_PORT": str(self._port),
             "SERVER_PROTOCOL": f"HTTP/{request.version}",
             "CONTENT_LENGTH": str(len(request.body)),
             "wsgi.version": (1, 0),
@@ -136,11 +136,11 @@
             key = name.decode("latin-1")
             # WSGI writes "-" as "_": a name with "_" would pass for the header that it resembles.
             if "_" not in key:
-                _add(environ, key.upper().replace("-", "_"), value.decode("latin-1"))
+                _add_header(environ, key.upper().replace("-", "_"), value.decode("latin-1"))
         return environ
 
 
-def _add(environ: Environ, name: str, value: str) -> None:
+def _add_header(environ: Environ, name: str, value: str) -> None:
     if name == "CONTENT_TYPE":
         environ[name] = value
     elif name not in ("CONTENT_LENGTH", "TRANSFER_ENCODING"):
--- a/stand_ins/callers.py
+++ b/stand_ins/callers.py
@@ -14,7 +14,7 @@
 config.resolver = "block"
 
 from monsoonflow.core.clock import MonotonicClock  # noqa: E402
-from monsoonflow.transport.client import Answer, Pools, call  # noqa: E402
+from monsoonflow.transport.client import Answer, ConnectionPools, call  # noqa: E402
 from stand_ins.commands import follow, record  # noqa: E402
 
 RESOLVE_TIMEOUT_MS: Final = 1_000
@@ -37,7 +37,7 @@
         self._host = host
         self._routes = routes
         self._rng = random.Random(seed)
-        self._pools = Pools(MonotonicClock())
+        self._pools = ConnectionPools(MonotonicClock())
         self._addresses: list[str] = []
         self._asked_at = 0.0
         self._ttl_s = 0.0
--- a/stand_ins/platform_runner.py
+++ b/stand_ins/platform_runner.py
@@ -11,7 +11,7 @@
 
 from monsoonflow.core.clock import MonotonicClock
 from monsoonflow.transport.models import CallerLeft, MessageLimits, Request
-from monsoonflow.transport.server import Port, Reply
+from monsoonflow.transport.server import HttpServer, Reply
 
 
 @attrs.define
@@ -60,7 +60,7 @@
         self.left = 0
         self.crashes = 0
         self._running: set[gevent.Greenlet] = set()
-        self._port = Port(address, self._handle, MessageLimits, MonotonicClock())
+        self._port = HttpServer(address, self._handle, MessageLimits, MonotonicClock())
 
     def start(self) -> None:
         """Begin to serve."""
@@ -97,7 +97,7 @@
     def _handle(self, request: Request, reply: Reply) -> None:
         expected = request.value(b"x-expect-instance")
         if expected is not None and expected.decode() != self.server_id:
-            reply.whole(421, self._headers(request, signed=False))
+            reply.send_whole(421, self._headers(request, signed=False))
             return
         if self._control(request, reply):
             return
@@ -114,11 +114,13 @@
         faults = self.faults
         if faults.shed > 0:
             faults.shed -= 1
-            reply.whole(503, [*self._headers(request, signed=False), (b"X-Not-Executed", b"1")])
+            reply.send_whole(
+                503, [*self._headers(request, signed=False), (b"X-Not-Executed", b"1")]
+            )
             return
         if faults.shed_silently > 0:
             faults.shed_silently -= 1
-            reply.whole(503, self._headers(request, signed=True))
+            reply.send_whole(503, self._headers(request, signed=True))
             return
         if request.body == faults.poison:
             self.crash()
@@ -139,18 +141,20 @@
             return
         if faults.fail > 0:
             faults.fail -= 1
-            reply.whole(500, self._headers(request, signed=True), b"failed")
+            reply.send_whole(500, self._headers(request, signed=True), b"failed")
             return
         if faults.rot > 0:
             faults.rot -= 1
-            reply.whole(200, self._headers(request, signed=False), b"rotten")
+            reply.send_whole(200, self._headers(request, signed=False), b"rotten")
             return
         if faults.foreign > 0:
             faults.foreign -= 1
-            reply.whole(200, self._headers(request, signed=True, request_id=b"other"), b"foreign")
+            reply.send_whole(
+                200, self._headers(request, signed=True, request_id=b"other"), b"foreign"
+            )
             return
         body = b"%s %s %s" % (self.server_id.encode(), request.target, request.body)
-        reply.whole(200, self._headers(request, signed=True), body)
+        reply.send_whole(200, self._headers(request, signed=True), body)
 
     def _headers(
         self, request: Request, signed: bool, request_id: bytes | None = None
@@ -203,10 +207,10 @@
         if request.target == b"/v1/report":
             data = {"models": self._models(), "busy": False, "sequence": self.sequence}
             data |= self._born()
-            reply.whole(200, [], orjson.dumps({**data, "incoming": []}))
+            reply.send_whole(200, [], orjson.dumps({**data, "incoming": []}))
             return True
         if request.target == b"/v1/order":
-            reply.whole(self._order(orjson.loads(request.body)), [])
+            reply.send_whole(self._order(orjson.loads(request.body)), [])
             return True
         return False
 
@@ -242,10 +246,12 @@
         expected = request.value(b"x-expect-version")
         held = self.adapters.get(adapter)
         if adapter and (held is None or (expected is not None and int(expected) != held)):
-            reply.whole(421, self._headers(request, signed=False))
+            reply.send_whole(421, self._headers(request, signed=False))
             return
         if not self._waits_its_turn(request, adapter):
-            reply.whole(503, [*self._headers(request, signed=False), (b"X-Not-Executed", b"1")])
+            reply.send_whole(
+                503, [*self._headers(request, signed=False), (b"X-Not-Executed", b"1")]
+            )
             return
         super()._run(request, reply)
 
--- a/stand_ins/platform_store.py
+++ b/stand_ins/platform_store.py
@@ -13,7 +13,7 @@
 
 from monsoonflow.core.clock import MonotonicClock
 from monsoonflow.transport.models import MessageLimits, Request
-from monsoonflow.transport.server import Port, Reply
+from monsoonflow.transport.server import HttpServer, Reply
 
 JSON = [(b"Content-Type", b"application/json")]
 
@@ -44,7 +44,7 @@
         self.rows: dict[tuple[str, str], tuple[int, str | None]] = {}
         self.calls = 0
         self._changed = Event()
-        self._port = Port(address, self._handle, MessageLimits, MonotonicClock())
+        self._port = HttpServer(address, self._handle, MessageLimits, MonotonicClock())
 
     def start(self) -> None:
         """Begin to serve."""
@@ -83,7 +83,7 @@
         if self.faults.silent:
             gevent.sleep(60)
         if self.faults.down:
-            reply.whole(503, [])
+            reply.send_whole(503, [])
             return
         path, _, text = request.target.decode().partition("?")
         query = {name: values[0] for name, values in parse_qs(text).items()}
@@ -96,7 +96,7 @@
             case "/v1/rows-feed":
                 self._feed(query, reply)
             case _:
-                reply.whole(404, [])
+                reply.send_whole(404, [])
 
     def _table(self, table: str, start: str) -> list[dict[str, Any]]:
         return [
@@ -129,7 +129,7 @@
         until = gevent.get_hub().loop.now() + int(query["waitMs"]) / 1000
         while True:
             if self.faults.down or after < self.forgotten:
-                reply.whole(503 if self.faults.down else 410, [])
+                reply.send_whole(503 if self.faults.down else 410, [])
                 return
             rows = [
                 self._row(table, key)
@@ -146,4 +146,6 @@
             gevent.get_hub().loop.update_now()
 
     def _answer(self, reply: Reply, status: int, data: dict[str, Any]) -> None:
-        reply.whole(status, JSON, orjson.dumps({**data, "rowVersion": self.version, "nowMs": 0}))
+        reply.send_whole(
+            status, JSON, orjson.dumps({**data, "rowVersion": self.version, "nowMs": 0})
+        )
--- a/stand_ins/server_process.py
+++ b/stand_ins/server_process.py
@@ -14,7 +14,7 @@
 config.resolver = "block"
 
 from monsoonflow.core.clock import MonotonicClock  # noqa: E402
-from monsoonflow.transport.client import Answer, Pools, call  # noqa: E402
+from monsoonflow.transport.client import Answer, ConnectionPools, call  # noqa: E402
 from monsoonflow.transport.models import Request  # noqa: E402
 from monsoonflow.transport.server import Reply  # noqa: E402
 from stand_ins.commands import follow, record  # noqa: E402
@@ -61,7 +61,7 @@
         self._zone = zone
         self._store = store
         self._heartbeat_s = heartbeat_ms / 1000
-        self._pools = Pools(MonotonicClock(), max_idle=2)
+        self._pools = ConnectionPools(MonotonicClock(), max_idle=2)
         self._sequence = 0
         self._state = "ready"
         self._registers = True
--- a/stand_ins/store_process.py
+++ b/stand_ins/store_process.py
@@ -48,7 +48,7 @@
     def _handle(self, request: Request, reply: Reply) -> None:
         if request.target == b"/register" and not self.faults.down and not self.faults.silent:
             self._register(**orjson.loads(request.body))
-            reply.whole(200, [])
+            reply.send_whole(200, [])
             return
         super()._handle(request, reply)
 
--- a/tests/backend/test_plain_http.py
+++ b/tests/backend/test_plain_http.py
@@ -71,7 +71,7 @@
         answer = client.open(address, CALL, fresh=False)
         assert b"".join(answer.pieces()) == b"ok"
         answer.close()
-    assert client.pools.opened == 2
+    assert client.pools.opened_count == 2
 
 
 def test_a_call_that_may_not_be_repeated_gets_a_new_connection(serve, client):
@@ -80,7 +80,7 @@
         answer = client.open(address, CALL, fresh=True)
         b"".join(answer.pieces())
         answer.close()
-    assert client.pools.opened == 2
+    assert client.pools.opened_count == 2
 
 
 def test_an_answer_that_ends_early_is_not_whole(serve, client):
--- a/tests/entry/conftest.py
+++ b/tests/entry/conftest.py
@@ -18,7 +18,7 @@
 from monsoonflow.entry.settings import EntrySettings, PeerBounds  # noqa: E402
 from monsoonflow.helpers.gevent_tasks import GeventTasks  # noqa: E402
 from monsoonflow.platform.outside import PlatformOutside  # noqa: E402
-from monsoonflow.transport.client import Answer, Pools, call  # noqa: E402
+from monsoonflow.transport.client import Answer, ConnectionPools, call  # noqa: E402
 from script.ports import free_port  # noqa: E402
 from stand_ins.platform_runner import PlatformRunner, PlatformServer  # noqa: E402
 from stand_ins.platform_store import PlatformStore  # noqa: E402
@@ -169,7 +169,7 @@
             (b"X-Deadline-Ms", str(deadline_ms).encode()),
             *((name.replace("_", "-").encode(), value.encode()) for name, value in headers.items()),
         ]
-        pools = Pools(MonotonicClock())
+        pools = ConnectionPools(MonotonicClock())
         answer = call(
             pools, node.address, method, target, body, 5_000, tuple(sent_headers), host=HOST
         )
--- a/tests/entry/test_holder_work.py
+++ b/tests/entry/test_holder_work.py
@@ -14,7 +14,7 @@
 from monsoonflow.core.clock import ManualClock
 from monsoonflow.entry.plan_pause import MAX_PAUSE_MS
 from monsoonflow.transport.models import MessageLimits
-from monsoonflow.transport.server import Port
+from monsoonflow.transport.server import HttpServer
 from script.ports import free_port
 from tests.placement.conftest import MODEL
 
@@ -29,11 +29,11 @@
 
     status = 0
 
-    def caller_left(self) -> bool:
+    def has_caller_left(self) -> bool:
         """Return whether the requesting node has disconnected."""
         return False
 
-    def whole(self, status: int, headers: list, body: bytes = b"") -> None:
+    def send_whole(self, status: int, headers: list, body: bytes = b"") -> None:
         """Record the answer."""
         self.status = status
 
@@ -240,7 +240,7 @@
 
     monkeypatch.setattr(scheduler, "request_slot", record_request)
     address = f"127.0.0.1:{free_port()}"
-    port = Port(address, holder.load.duties.answer_slot_request, MessageLimits, holder.clock)
+    port = HttpServer(address, holder.load.duties.answer_slot_request, MessageLimits, holder.clock)
     assert port.start()
     body = orjson.dumps(holder.load.question(f"{MODEL}/held0-0"))
     head = f"POST /place HTTP/1.1\r\nHost: n0\r\nContent-Length: {len(body)}\r\n\r\n"
--- a/tests/entry/test_metrics.py
+++ b/tests/entry/test_metrics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from monsoonflow.core.clock import MonotonicClock
-from monsoonflow.transport.client import Pools, call
+from monsoonflow.transport.client import ConnectionPools, call
 
 
 def test_metrics_count_served_requests_and_name_no_adapter_or_server(fleet):
@@ -14,7 +14,7 @@
     fleet.ask(node, "/look/x", "r1")
     fleet.generate(node, "a1", "r2")
     address = node.daemon.settings.metrics_address
-    answer = call(Pools(MonotonicClock()), address, "GET", "/metrics", b"", 2_000)
+    answer = call(ConnectionPools(MonotonicClock()), address, "GET", "/metrics", b"", 2_000)
     text = answer.body.decode()
     assert 'requests_total{kind="idempotent",outcome="answered",priority="0"} 1.0' in text
     assert 'objectives_total{kind="stream",priority="0",result="met"} 1.0' in text
@@ -22,5 +22,5 @@
     assert "monsoonflow_entry_config_version 1.0" in text
     assert "a1" not in text
     assert "i-1" not in text
-    missing = call(Pools(MonotonicClock()), address, "GET", "/other", b"", 2_000)
+    missing = call(ConnectionPools(MonotonicClock()), address, "GET", "/other", b"", 2_000)
     assert missing.head.status == 404
--- a/tests/entry/test_poison.py
+++ b/tests/entry/test_poison.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 
-from monsoonflow.transport.client import Answer, Pools, call
+from monsoonflow.transport.client import Answer, ConnectionPools, call
 from stand_ins.platform_runner import RunnerFaults
 from tests.entry.conftest import HOST, MODEL, wait_for
 
@@ -67,7 +67,7 @@
         (b"X-Model", f"{MODEL}/a1".encode()),
         (b"X-Token-Count", b"100,20"),
     )
-    pools = Pools(fleet.nodes[0].daemon.clock)
+    pools = ConnectionPools(fleet.nodes[0].daemon.clock)
     return call(pools, node.address, "POST", f"/{path}/x", body, 5_000, headers, host=HOST)
 
 
--- a/tests/gateway/test_attempt.py
+++ b/tests/gateway/test_attempt.py
@@ -28,7 +28,7 @@
     clock: ManualClock
     timeouts_ms: list[int] = attrs.Factory(list)
 
-    def take(self, key: str, address: str, timeout_ms: int = CONNECT_TIMEOUT_MS) -> Lost:
+    def acquire(self, key: str, address: str, timeout_ms: int = CONNECT_TIMEOUT_MS) -> Lost:
         """Fail to connect, and record the timeout."""
         self.timeouts_ms.append(timeout_ms)
         return Lost(False, "no connection")
@@ -43,13 +43,15 @@
     sent: list[bytes] = attrs.Factory(list)
     closed: bool = False
 
-    def take(self, key: str, address: str, timeout_ms: int = CONNECT_TIMEOUT_MS) -> SlowConnection:
+    def acquire(
+        self, key: str, address: str, timeout_ms: int = CONNECT_TIMEOUT_MS
+    ) -> SlowConnection:
         """Return the connection as late as after one lost packet."""
         self.clock.advance(450)
         self.while_connecting()
         return self
 
-    def send(self, head: bytes, body: bytes, no_answer_body: bool = False) -> None:
+    def send(self, head: bytes, body: bytes, is_head_request: bool = False) -> None:
         """Record what is sent."""
         self.sent.append(head)
         raise OSError("no answer is needed")
@@ -64,7 +66,7 @@
 
     started = False
 
-    def check_caller(self) -> None:
+    def raise_if_caller_left(self) -> None:
         """Do nothing: the caller is still connected."""
 
 
--- a/tests/gateway/test_returning_callers.py
+++ b/tests/gateway/test_returning_callers.py
@@ -19,7 +19,7 @@
 from monsoonflow.routing.caller_timeouts import TypicalCallerTimeouts
 from monsoonflow.routing.in_flight import InFlight
 from monsoonflow.routing.routes import Route, RouteKind, RouteTable, Service, Target
-from monsoonflow.transport.client import Pools
+from monsoonflow.transport.client import ConnectionPools
 from monsoonflow.transport.models import MessageLimits, Request
 
 ROUTE = Route("r", "h", "/a/", RouteKind.STREAM, (Target("s", 1),), objective_ms=800)
@@ -44,7 +44,7 @@
     status = 0
     sent_bytes = 0
 
-    def whole(self, *_: object) -> None:
+    def send_whole(self, *_: object) -> None:
         """Discard an answer."""
 
 
@@ -79,7 +79,7 @@
         clock,
         HeaderDialect(),
         lambda: table,
-        Pools(clock),
+        ConnectionPools(clock),
         in_flight,
         Backlog(in_flight, FleetView("n")),
         NoRetryBudget(),
--- a/tests/platform/test_directory.py
+++ b/tests/platform/test_directory.py
@@ -14,7 +14,7 @@
     status = 0
     body = b""
 
-    def whole(self, status: int, _headers: object, body: bytes = b"") -> None:
+    def send_whole(self, status: int, _headers: object, body: bytes = b"") -> None:
         """Record a complete answer."""
         self.status, self.body = status, body
 
--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -11,7 +11,7 @@
 
 from monsoonflow.core.clock import MonotonicClock
 from monsoonflow.transport.models import MessageLimits, Request
-from monsoonflow.transport.server import Port, Reply
+from monsoonflow.transport.server import HttpServer, Reply
 from script.ports import free_port
 
 
@@ -19,7 +19,7 @@
 class Listening:
     """A port with what it handed on."""
 
-    port: Port
+    port: HttpServer
     number: int
     taken: list[Request]
 
@@ -47,13 +47,13 @@
 
 def echo(request: Request, reply: Reply) -> None:
     """Answer with the raw target and body."""
-    reply.whole(200, [], request.target + b"|" + request.body)
+    reply.send_whole(200, [], request.target + b"|" + request.body)
 
 
 @pytest.fixture
 def listen() -> Iterator[Callable[..., Listening]]:
     """Return a function that opens a port."""
-    opened: list[Port] = []
+    opened: list[HttpServer] = []
 
     def open_port(handler: Handler = echo, limits: MessageLimits | None = None) -> Listening:
         number = free_port()
@@ -63,7 +63,7 @@
             taken.append(request)
             handler(request, reply)
 
-        port = Port(
+        port = HttpServer(
             f"127.0.0.1:{number}", handle, lambda: limits or MessageLimits(), MonotonicClock()
         )
         assert port.start()
--- a/tests/transport/test_callers_port.py
+++ b/tests/transport/test_callers_port.py
@@ -155,7 +155,7 @@
     kept = port.connect()
     kept.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     assert b"Keep-Alive" in kept.recv(1_000)
-    port.port.stop_keeping()
+    port.port.stop_keep_alive()
     kept.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     assert b"Connection: close" in kept.recv(1_000)
     assert kept.recv(1_000) == b""
@@ -180,7 +180,7 @@
     with pytest.raises(BadMessage):
         for start in range(0, len(data), step):
             reader.feed(data[start : start + step], MonotonicClock().now_ms())
-            assert not reader.ready
+            assert not reader.complete_requests
         raise BadMessage(400, "incomplete")
 
 
--- a/tests/transport/test_servers_side.py
+++ b/tests/transport/test_servers_side.py
@@ -10,9 +10,9 @@
 from gevent.server import StreamServer
 
 from monsoonflow.core.clock import MonotonicClock
-from monsoonflow.transport.client import Answer, Pools, call
+from monsoonflow.transport.client import Answer, ConnectionPools, call
 from monsoonflow.transport.models import BrokenAnswer, Lost
-from monsoonflow.transport.sockets import readable_now
+from monsoonflow.transport.sockets import is_readable
 
 CODED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: "
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -49,7 +49,9 @@
     return handle
 
 
-def ask(pools: Pools, address: str, body: bytes = b"", timeout_ms: int = 500) -> Answer | Lost:
+def ask(
+    pools: ConnectionPools, address: str, body: bytes = b"", timeout_ms: int = 500
+) -> Answer | Lost:
     return call(pools, address, "POST", "/x", body, timeout_ms)
 
 
@@ -64,14 +66,14 @@
 
 @pytest.mark.parametrize("name", BROKEN)
 def test_a_broken_answer_is_never_a_whole_one(serve, name):
-    result = ask(Pools(MonotonicClock()), serve(answering(BROKEN[name], end=True)))
+    result = ask(ConnectionPools(MonotonicClock()), serve(answering(BROKEN[name], end=True)))
     assert isinstance(result, Lost)
     assert result.sent
 
 
 def test_an_answer_without_length_ends_with_its_connection(serve):
     address = serve(answering(b"HTTP/1.1 200 OK\r\n\r\nall of it", end=True))
-    result = ask(Pools(MonotonicClock()), address)
+    result = ask(ConnectionPools(MonotonicClock()), address)
     assert isinstance(result, Answer)
     assert result.body == b"all of it"
 
@@ -88,7 +90,7 @@
         gevent.sleep(0.05)
         sock.close()  # unread bytes: the kernel sends a reset
 
-    result = ask(Pools(MonotonicClock()), serve(handle), b"a body that is never read")
+    result = ask(ConnectionPools(MonotonicClock()), serve(handle), b"a body that is never read")
     assert isinstance(result, Lost)
 
 
@@ -97,11 +99,11 @@
 
     Used again, the connection would give it to the next caller.
     """
-    pools = Pools(MonotonicClock())
+    pools = ConnectionPools(MonotonicClock())
     address = serve(answering(WHOLE + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", WHOLE))
     assert ask(pools, address).body == b"ok"
     assert ask(pools, address).body == b"ok"
-    assert pools.opened == 2
+    assert pools.opened_count == 2
 
 
 def test_a_connection_on_which_something_came_while_it_rested_is_not_used_again(serve):
@@ -112,17 +114,19 @@
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
         gevent.sleep(5)
 
-    pools = Pools(MonotonicClock())
+    pools = ConnectionPools(MonotonicClock())
     address = serve(handle)
     assert ask(pools, address).body == b"ok"
     gevent.sleep(0.1)
     assert ask(pools, address).body == b"ok"
-    assert pools.opened == 2
+    assert pools.opened_count == 2
 
 
 def test_informational_answers_are_passed_over(serve):
     interim = b"HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n"
-    assert ask(Pools(MonotonicClock()), serve(answering(interim * 2 + WHOLE))).body == b"ok"
+    assert (
+        ask(ConnectionPools(MonotonicClock()), serve(answering(interim * 2 + WHOLE))).body == b"ok"
+    )
 
 
 def test_a_server_may_answer_before_it_has_read_a_long_body(serve):
@@ -136,13 +140,13 @@
         sock.sendall(b"HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
         gevent.sleep(3)
 
-    pools = Pools(MonotonicClock())
+    pools = ConnectionPools(MonotonicClock())
     address = serve(handle)
     result = ask(pools, address, b"x" * 8_000_000, 2_000)
     assert isinstance(result, Answer)
     assert result.head.status == 413
     ask(pools, address, b"", 200)
-    assert pools.opened == 2
+    assert pools.opened_count == 2
 
 
 def test_nothing_is_sent_twice(serve):
@@ -160,7 +164,7 @@
                 return
             sock.sendall(WHOLE)
 
-    pools = Pools(MonotonicClock())
+    pools = ConnectionPools(MonotonicClock())
     address = serve(handle)
     ask(pools, address)
     result = ask(pools, address)
@@ -170,34 +174,36 @@
 
 
 def test_no_connection_means_nothing_was_sent():
-    result = ask(Pools(MonotonicClock()), "127.0.0.1:1")
+    result = ask(ConnectionPools(MonotonicClock()), "127.0.0.1:1")
     assert isinstance(result, Lost)
     assert not result.sent
 
 
 def test_head_and_bodiless_answers_end_with_their_head(serve):
-    pools = Pools(MonotonicClock())
+    pools = ConnectionPools(MonotonicClock())
     address = serve(answering(b"HTTP/1.1 204 No Content\r\n\r\n"))
     assert ask(pools, address).head.status == 204
     head = serve(answering(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n"))
-    connection = pools.take(head, head)
-    connection.send(b"HEAD / HTTP/1.1\r\nHost: h\r\n\r\n", b"", no_answer_body=True)
+    connection = pools.acquire(head, head)
+    connection.send(b"HEAD / HTTP/1.1\r\nHost: h\r\n\r\n", b"", is_head_request=True)
     until_ms = MonotonicClock().now_ms() + 500
     assert connection.read_head(until_ms).status == 200
     assert connection.read_piece(until_ms) is None
-    assert not connection.reusable()
+    assert not connection.is_reusable()
 
 
 def test_a_quiet_connection_is_told_from_one_that_ended(serve):
     address = serve(lambda sock: gevent.sleep(0.1))
     sock = socket.create_connection(("127.0.0.1", int(address.rpartition(":")[2])))
-    assert not readable_now(sock)
+    assert not is_readable(sock)
     gevent.sleep(0.2)
-    assert readable_now(sock)
+    assert is_readable(sock)
 
 
 def test_silence_ends_a_call_in_time(serve):
-    result = ask(Pools(MonotonicClock()), serve(lambda sock: gevent.sleep(5)), timeout_ms=100)
+    result = ask(
+        ConnectionPools(MonotonicClock()), serve(lambda sock: gevent.sleep(5)), timeout_ms=100
+    )
     assert isinstance(result, Lost)
     assert result.sent
     assert not isinstance(result, BrokenAnswer)
--- a/tests/transport/test_wsgi.py
+++ b/tests/transport/test_wsgi.py
@@ -11,7 +11,7 @@
 from gevent import socket
 
 from monsoonflow.transport.models import MessageLimits
-from monsoonflow.transport.server import Port
+from monsoonflow.transport.server import HttpServer
 from monsoonflow.transport.wsgi import RAW_HEADERS, RAW_TARGET, AnswerCut, start_server
 from script.ports import free_port
 from tests.transport.test_callers_port import REFUSED, SECOND
@@ -40,7 +40,7 @@
 @pytest.fixture
 def serve() -> Iterator[Callable[[Callable], Served]]:
     """Return a function that serves an application."""
-    ports: list[Port] = []
+    ports: list[HttpServer] = []
 
     def start(app: Callable) -> Served:
         number = free_port()
