--- a/monsoonflow/transport/__init__.py
+++ b/monsoonflow/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Carries HTTP/1.1 messages byte for byte: a strict codec on cooperative sockets."""
+"""HTTP/1.1 server and client on gevent sockets: a strict codec, messages kept byte for byte."""
--- a/monsoonflow/transport/client.py
+++ b/monsoonflow/transport/client.py
@@ -1,4 +1,4 @@
-"""Sends requests to servers over kept connections; never sends one twice by itself."""
+"""Sends requests to servers over keep-alive connections; never retries a request by itself."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from .sockets import connect, is_readable, split_address
 
 DEFAULT_MAX_IDLE_MS: Final = 4_000
-"""Longest rest of a kept connection where the server names none: under the usual five seconds."""
+"""Longest idle time where the server states none: less than the typical timeout of 5 s."""
 
 KEEP_ALIVE_SHARE: Final = 0.85
-"""Share of the rest that a server grants which is used: a request must not cross its close.
+"""Share of a server's keep-alive timeout that is used: no request may be sent as the server closes.
 
-A connection that rested may have gone silent, and a request on it would be lost. Probes end a
-silent one within three seconds, so a longer rest adds nothing to that.
+An idle connection may have been lost without a reset, and so would be a request on it. Keep-alive
+probes end such a connection within three seconds, so a longer idle time does not add to this risk.
 """
 
 BACKGROUND_BODY_BYTES: Final = 32_768
-"""Bodies above this are sent beside reading: a server may answer before it has read them."""
+"""Larger bodies are sent in the background: a server may answer before it has read them."""
 
 
 class ServerConnection:
-    """A connection to a server; one request at a time."""
+    """A connection to a server that carries one request at a time."""
 
     def __init__(self, sock: socket.socket, clock: Clock) -> None:
         self._sock = sock
@@ -47,7 +47,8 @@
     def send(self, head: bytes, body: bytes, is_head_request: bool = False) -> None:
         """Send a request.
 
-        :raises OSError: when it can't be sent whole; the server may still have received it.
+        :param is_head_request: whether the answer has no body although it states a length.
+        :raises OSError: when it can't be sent completely; the server may still have received it.
         """
         if is_head_request:
             self._reader.expect_no_body()
@@ -68,20 +69,20 @@
     def read_head(self, deadline_ms: int) -> AnswerHead:
         """Return the head of the next answer.
 
-        :raises TimeoutError: when it is not there in time.
-        :raises OSError: when the connection broke.
-        :raises BrokenAnswer: when the bytes are no answer.
+        :raises TimeoutError: when it is incomplete at the deadline.
+        :raises OSError: when the connection fails.
+        :raises BrokenAnswer: when the bytes are not a valid answer.
         """
         while not self._reader.answers:
             self._receive(deadline_ms)
         return self._reader.answers[0].head
 
     def read_piece(self, deadline_ms: int) -> bytes | None:
-        """Return the next bytes of the body, as they come; ``None`` at its end.
+        """Return the next bytes of the body as they are received; ``None`` at its end.
 
-        :raises TimeoutError: when nothing comes in time.
-        :raises OSError: when the connection broke.
-        :raises BrokenAnswer: when the body ends before its end.
+        :raises TimeoutError: when nothing is received before the deadline.
+        :raises OSError: when the connection fails.
+        :raises BrokenAnswer: when the connection ends before the body is complete.
         """
         incoming = self._reader.answers[0]
         while not incoming.pieces:
@@ -97,10 +98,10 @@
     def _receive(self, deadline_ms: int) -> None:
         if self._eof:
             raise BrokenAnswer("the connection ended inside the answer")
-        left_ms = deadline_ms - self._clock.now_ms()
-        if left_ms <= 0:
+        remaining_ms = deadline_ms - self._clock.now_ms()
+        if remaining_ms <= 0:
             raise TimeoutError
-        self._sock.settimeout(left_ms / 1000)
+        self._sock.settimeout(remaining_ms / 1000)
         data = self._sock.recv(READ_BYTES)
         if data:
             self._reader.feed(data)
@@ -111,33 +112,33 @@
             raise BrokenAnswer("the connection ended inside the answer")
 
     def is_reusable(self) -> bool:
-        """Tell whether another request may follow on this connection.
+        """Return whether another request may be sent on this connection.
 
-        A connection with bytes left over is never used again: they belong to no request, and the
-        next caller would get them for its answer.
+        A connection with unread bytes is never reused: they belong to no request, and the next
+        caller would get them as its answer.
         """
-        sent = self._sender is None or (self._sender.ready() and bool(self._sender.value))
-        return sent and not self._eof and self._reader.keep_alive and self._reader.is_clean
+        is_sent = self._sender is None or (self._sender.ready() and bool(self._sender.value))
+        return is_sent and not self._eof and self._reader.keep_alive and self._reader.is_clean
 
     def is_stale(self, now_ms: int) -> bool:
-        """Tell whether the connection rested too long or something came while it rested."""
-        rest_ms = now_ms - self.idle_since_ms
-        return rest_ms > self.max_idle_ms or is_readable(self._sock)
+        """Return whether the connection was idle for too long or received something while idle."""
+        idle_ms = now_ms - self.idle_since_ms
+        return idle_ms > self.max_idle_ms or is_readable(self._sock)
 
     def mark_idle(self, head: AnswerHead) -> None:
-        """Note how long the server keeps the connection, before it goes back to its pool."""
+        """Record the start of the idle time and the keep-alive timeout that the server states."""
         self.idle_since_ms = self._clock.now_ms()
         self._sender = None
-        told = head.value(b"keep-alive")
-        if told is None:
+        keep_alive = head.value(b"keep-alive")
+        if keep_alive is None:
             return
-        for part in told.split(b","):
+        for part in keep_alive.split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
                 self.max_idle_ms = int(value) * 1000 * KEEP_ALIVE_SHARE
 
     def close(self) -> None:
-        """End the connection at once, whatever is in progress on it."""
+        """Close the connection immediately, even while a request is in progress."""
         if self._sender is not None:
             self._sender.kill(block=False)
         self._sock.close()
@@ -145,9 +146,10 @@
 
 @attrs.define(slots=True)
 class ConnectionPools:
-    """Keeps connections that rest, by server.
+    """Idle connections by server.
 
-    :param max_idle: resting connections a server.
+    :param max_idle: maximum number of idle connections per server.
+    :param opened_count: connections opened since the start.
     """
 
     clock: Clock
@@ -161,9 +163,9 @@
         address: str,
         timeout_ms: int = CONNECT_TIMEOUT_MS,
     ) -> ServerConnection | Lost:
-        """Return a connection that is good for one request.
+        """Return an idle connection to the server, or a new one.
 
-        :param key: names the server's process; its address may be given to another one later.
+        :param key: identifies the server's process; another one may get its address later.
         """
         now_ms = self.clock.now_ms()
         idle = self._idle_by_key.get(key)
@@ -180,22 +182,22 @@
         timeout_ms: int = CONNECT_TIMEOUT_MS,
         tls: ssl.SSLContext | None = None,
     ) -> ServerConnection | Lost:
-        """Return a new connection; no resting one can have gone silent under the request.
+        """Return a new connection: unlike an idle one, it can't have been lost unnoticed.
 
-        :param tls: a context, where the server speaks TLS.
+        :param tls: the TLS context, or ``None`` for plain TCP.
         """
         try:
             sock = connect(address, timeout_ms)
             if tls is not None:
                 sock = tls.wrap_socket(sock, server_hostname=split_address(address)[0])
         except OSError as error:
-            refused = isinstance(error, ConnectionRefusedError)
-            return Lost(False, f"no connection: {type(error).__name__}", refused)
+            is_refused = isinstance(error, ConnectionRefusedError)
+            return Lost(False, f"no connection: {type(error).__name__}", is_refused)
         self.opened_count += 1
         return ServerConnection(sock, self.clock)
 
     def release(self, key: str, connection: ServerConnection, head: AnswerHead) -> None:
-        """Keep a connection whose answer was read to its end, or close it."""
+        """Keep a connection whose answer was read completely for reuse, or close it."""
         idle = self._idle_by_key.setdefault(key, deque())
         if not connection.is_reusable() or len(idle) >= self.max_idle:
             connection.close()
@@ -204,12 +206,12 @@
         idle.append(connection)
 
     def close_idle(self, key: str) -> None:
-        """Close the resting connections to a server that is gone."""
+        """Close the idle connections to a server that was removed."""
         for connection in self._idle_by_key.pop(key, ()):
             connection.close()
 
     def close_stale(self) -> None:
-        """Close what rested too long."""
+        """Close idle connections that can no longer be reused."""
         now_ms = self.clock.now_ms()
         for key, idle in list(self._idle_by_key.items()):
             kept = deque(c for c in idle if not c.is_stale(now_ms))
@@ -224,7 +226,7 @@
 
 @attrs.frozen(slots=True)
 class Answer:
-    """An answer to a control call, read whole."""
+    """The complete answer to a control call."""
 
     head: AnswerHead
     body: bytes
@@ -241,11 +243,11 @@
     host: str | None = None,
     on_acquired: Callable[[ServerConnection], None] = lambda _: None,
 ) -> Answer | Lost:
-    """Make one control call and read its whole answer.
+    """Send one control request and return its complete answer.
 
-    :param on_acquired: takes the connection, which another task may close to end the call.
+    :param on_acquired: called with the connection; another task may close it to abort the call.
     """
-    until_ms = pools.clock.now_ms() + timeout_ms
+    deadline_ms = pools.clock.now_ms() + timeout_ms
     connection = pools.acquire(address, address, timeout_ms=min(timeout_ms, CONNECT_TIMEOUT_MS))
     if isinstance(connection, Lost):
         return connection
@@ -256,9 +258,9 @@
         lines.append(b"Content-Length: %d" % len(body))
     try:
         connection.send(b"\r\n".join(lines) + b"\r\n\r\n", body)
-        head = connection.read_head(until_ms)
+        head = connection.read_head(deadline_ms)
         pieces = []
-        while (piece := connection.read_piece(until_ms)) is not None:
+        while (piece := connection.read_piece(deadline_ms)) is not None:
             pieces.append(piece)
     except (OSError, BrokenAnswer) as error:
         connection.close()
--- a/monsoonflow/transport/codec.py
+++ b/monsoonflow/transport/codec.py
@@ -1,4 +1,4 @@
-"""Reads HTTP/1.1 messages strictly; what two readers could understand differently is refused."""
+"""Strict HTTP/1.1 parser: rejects messages that two parsers could interpret differently."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class RequestReader:
-    """Turns a caller's bytes into whole requests.
+    """Parses a caller's bytes into complete requests.
 
-    The library refuses conflicting lengths, folded headers, bare line ends and the like; this class
-    adds what it lets through (two ``Host`` headers, codings other than ``chunked``, absolute
-    targets) and the limits.
+    The library rejects conflicting lengths, folded headers, bare line ends and the like. This class
+    also rejects what the library accepts (two ``Host`` headers, transfer codings other than
+    ``chunked``, absolute targets) and enforces the limits.
     """
 
     def __init__(self, limits: MessageLimits) -> None:
@@ -47,13 +47,13 @@
 
     @property
     def is_head_pending(self) -> bool:
-        """Tell whether a request has begun whose head is not complete."""
+        """Return whether a request has begun whose head is incomplete."""
         return self.has_begun and not self._is_head_complete
 
     def feed(self, data: bytes, now_ms: int) -> None:
-        """Take bytes.
+        """Parse received bytes.
 
-        :raises BadMessage: when they are refused; nothing more may be fed then.
+        :raises BadMessage: when they are rejected; the reader must not be fed again.
         """
         self._now_ms = now_ms
         was_in_head = not self._is_head_complete
@@ -71,7 +71,7 @@
             raise self._error
 
     def on_message_begin(self) -> None:
-        """Begin a message."""
+        """Handle the start of a request."""
         self.has_begun = True
         self._is_head_complete = False
         self._head_bytes = 0
@@ -82,17 +82,17 @@
         self._body_bytes = 0
 
     def on_url(self, piece: bytes) -> None:
-        """Take a part of the target."""
+        """Handle a part of the request target."""
         self._target.append(piece)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
-        # Trailers come the same way after the body; they concern one connection only.
+        """Handle a header."""
+        # Trailers are also reported here, after the body. They concern one connection only.
         if not self._is_head_complete:
             self._headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
+        """Handle the end of the head."""
         self._is_head_complete = True
         head_bytes = sum(len(name) + len(value) + 4 for name, value in self._headers)
         if head_bytes + sum(map(len, self._target)) > self.limits.head_bytes:
@@ -100,7 +100,7 @@
         self._check_head()
 
     def on_body(self, piece: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
         self._body_bytes += len(piece)
         if self._body_bytes > self.limits.body_bytes:
             self._refuse(413, "the body is too large")
@@ -108,7 +108,7 @@
         self._body.append(piece)
 
     def on_message_complete(self) -> None:
-        """Take the end of a message."""
+        """Handle the end of a request."""
         self.has_begun = False
         self._is_head_complete = False
         self.wants_continue = False
@@ -130,34 +130,34 @@
         self._error = self._error or BadMessage(status, reason)
 
     def _check_head(self) -> None:
-        named: dict[bytes, list[bytes]] = {}
+        values_by_name: dict[bytes, list[bytes]] = {}
         for name, value in self._headers:
-            named.setdefault(name.lower(), []).append(value)
+            values_by_name.setdefault(name.lower(), []).append(value)
         target = b"".join(self._target)
-        hosts = named.get(b"host", [])
-        codings = [value.lower() for value in named.get(b"transfer-encoding", [])]
+        hosts = values_by_name.get(b"host", [])
+        codings = [value.lower() for value in values_by_name.get(b"transfer-encoding", [])]
         if len(hosts) != 1 or not hosts[0]:
             self._refuse(400, "exactly one Host header is needed")
         elif not target.startswith(b"/") or b"#" in target:
             self._refuse(400, "the target must be a path")
         elif codings and (codings != [b"chunked"] or self._parser.get_http_version() != "1.1"):
             self._refuse(400, "the only coding taken is chunked")
-        elif b"upgrade" in named:
+        elif b"upgrade" in values_by_name:
             self._refuse(400, "upgrades are not offered")
-        elif self._declared_length(named) > self.limits.body_bytes:
+        elif self._declared_length(values_by_name) > self.limits.body_bytes:
             self._refuse(413, "the body is too large")
         self.wants_continue = b"100-continue" in [
-            value.lower() for value in named.get(b"expect", [])
+            value.lower() for value in values_by_name.get(b"expect", [])
         ]
 
     @staticmethod
-    def _declared_length(named: dict[bytes, list[bytes]]) -> int:
-        told = named.get(b"content-length", [b"0"])[0]
-        return int(told) if told.isdigit() else 0
+    def _declared_length(values_by_name: dict[bytes, list[bytes]]) -> int:
+        declared = values_by_name.get(b"content-length", [b"0"])[0]
+        return int(declared) if declared.isdigit() else 0
 
 
 class AnswerReader:
-    """Turns a server's bytes into answers, in the order in which they come."""
+    """Parses a server's bytes into answers, in the order of arrival."""
 
     def __init__(self) -> None:
         self.answers: deque[IncomingAnswer] = deque()
@@ -173,13 +173,13 @@
         self._is_head_complete = False
 
     def expect_no_body(self) -> None:
-        """Say that the next answer is to a HEAD request."""
+        """Declare that the next answer is to a HEAD request and has no body."""
         self._is_head_request = True
 
     def feed(self, data: bytes) -> None:
-        """Take bytes.
+        """Parse received bytes.
 
-        :raises BrokenAnswer: when they are no answer; what was complete before stays so.
+        :raises BrokenAnswer: when they are not a valid answer and none was complete before them.
         """
         if self.error is not None:
             raise BrokenAnswer(self.error)
@@ -197,7 +197,7 @@
             raise BrokenAnswer(self.error)
 
     def handle_eof(self) -> None:
-        """Take the orderly end of the connection; it completes an answer without a length."""
+        """Handle an orderly close of the connection; it completes an answer without a length."""
         if not self.answers:
             return
         last = self.answers[-1]
@@ -206,27 +206,27 @@
 
     @property
     def is_clean(self) -> bool:
-        """Tell whether nothing came after the answers that were read."""
+        """Return whether nothing was received after the answers that were read."""
         return self.error is None and not self.has_begun and not self.answers
 
     def on_message_begin(self) -> None:
-        """Begin a message."""
+        """Handle the start of an answer."""
         self.has_begun = True
         self._is_head_complete = False
         self._reason = b""
         self._headers = []
 
     def on_status(self, reason: bytes) -> None:
-        """Take a part of the reason."""
+        """Handle a part of the reason phrase."""
         self._reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Handle a header."""
         if not self._is_head_complete:
             self._headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Take the end of the head."""
+        """Handle the end of the head."""
         self._is_head_complete = True
         self._head_bytes = 0
         status = self._parser.get_status_code()
@@ -235,7 +235,7 @@
         lengths = [value for name, value in self._headers if name.lower() == b"content-length"]
         codings = [value for name, value in self._headers if name.lower() == b"transfer-encoding"]
         if codings and [coding.lower() for coding in codings] != [b"chunked"]:
-            # The head is not taken: no answer begins, and feed reports what is wrong.
+            # No answer is added, so that feed() raises the error.
             self.error = "a coding other than chunked"
             return
         length = int(lengths[0]) if lengths and lengths[0].isdigit() else None
@@ -245,12 +245,12 @@
         self.answers.append(IncomingAnswer(head, is_complete=self._is_head_request))
 
     def on_body(self, piece: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
         if self.answers and not self.answers[-1].is_complete:
             self.answers[-1].pieces.append(piece)
 
     def on_message_complete(self) -> None:
-        """Take the end of a message."""
+        """Handle the end of an answer."""
         self.has_begun = False
         self._is_head_complete = False
         if 100 <= self._parser.get_status_code() < 200:
--- a/monsoonflow/transport/const.py
+++ b/monsoonflow/transport/const.py
@@ -1,47 +1,55 @@
-"""Limits of the transport."""
+"""Sizes, timeouts and headers of the transport."""
 
 from __future__ import annotations
 
 from typing import Final
 
 READ_BYTES: Final = 65_536
-"""Bytes asked for at a read; one read takes a whole call of the usual size."""
+"""Maximum bytes per read; one read holds a complete request of typical size."""
 
 MAX_PENDING_BYTES: Final = 65_536
-"""Bytes of a caller's next call that are read while its last one is being served."""
+"""Bytes of a caller's next request that are buffered while its previous one is being served."""
 
 MAX_ANSWER_HEAD_BYTES: Final = 65_536
-"""Bytes of an answer's head; a server that sends more is faulty."""
+"""Maximum size of an answer's head; a server that sends more is faulty."""
 
 USER_TIMEOUT_MS: Final = 1_500
-"""Unacknowledged data or probes for so long mean that the peer is gone (kernel's user timeout).
+"""Time without acknowledgement after which the kernel drops a connection (TCP_USER_TIMEOUT).
 
-Well under the shortest deadlines (1.5 s and more) plus one retry, well over a lost packet's repeat.
+Well below the shortest deadlines (1.5 s and more) plus one retry, and well above the time that TCP
+needs to retransmit a lost packet.
 """
 
 KEEPALIVE_IDLE_S: Final = 1
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
-"""A connection that went silent without a reset is found within about three seconds."""
+"""Probes detect a connection that was lost without a reset within about three seconds."""
 
 CONNECT_TIMEOUT_MS: Final = 500
-"""Longest wait for a connection inside one region: the round trip is 3 ms, a lost packet comes
-again after a second."""
+"""Longest wait for a connection within a region, where a round trip takes 3 ms.
+
+TCP retransmits a lost packet only after a second.
+"""
 
 WRITE_TIMEOUT_MS: Final = 5_000
-"""Longest wait for a peer that does not read."""
+"""Longest wait for a peer that does not read what is sent to it."""
 
 LINGER_MS: Final = 300
-"""How long a refused caller's remaining bytes are read: a reset must not overtake the answer."""
+"""How long a caller's remaining bytes are read before its connection is closed.
+
+Closing with unread bytes sends a reset, which may overtake the answer.
+"""
 
 LISTEN_BACKLOG: Final = 1_024
 
 MAX_INTERIM_ANSWERS: Final = 8
-"""Informational answers before a final one; more mean a faulty server."""
+"""Maximum informational (1xx) answers before a final one; a server that sends more is faulty."""
 
 REPLY_BUFFER_BYTES: Final = 262_144
-"""Answers up to this size are read whole before a byte is passed on, so that one that breaks off
-can still be tried again."""
+"""Answers up to this size are read completely before forwarding begins.
+
+If such an answer breaks off, the request can still be retried.
+"""
 
 HOP_BY_HOP_HEADERS: Final = frozenset(
     {
@@ -58,4 +66,7 @@
         b"content-length",
     }
 )
-"""Headers that concern one connection, not the message: never passed on. The length is set anew."""
+"""Headers that concern one connection, not the message: never forwarded.
+
+The content length is set again for the forwarded message.
+"""
--- a/monsoonflow/transport/models.py
+++ b/monsoonflow/transport/models.py
@@ -1,4 +1,4 @@
-"""Messages of the transport and tagged outcomes of an exchange."""
+"""Messages, results and exceptions of the transport."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @attrs.frozen(slots=True)
 class MessageLimits:
-    """Bounds on what a caller may send.
+    """Limits for what a caller may send.
 
-    :param head_bytes: request line and headers together.
-    :param body_bytes: the body.
-    :param head_ms: from a request's first byte to the end of its head.
-    :param idle_ms: a kept connection without a byte.
+    :param head_bytes: maximum size of request line and headers together.
+    :param body_bytes: maximum size of the body.
+    :param head_ms: longest time from a request's first byte to the end of its head.
+    :param idle_ms: longest time that a keep-alive connection may be idle.
     """
 
     head_bytes: int = 16_384
@@ -29,12 +29,12 @@
 
 @attrs.define(slots=True)
 class Request:
-    """A caller's request, read whole.
+    """A caller's complete request.
 
-    :param target: the raw target as sent; never decoded or normalised, or two readers of the same
-        bytes could disagree on where they lead.
-    :param headers: names and values in the order in which they came.
-    :param arrived_ms: when its first byte came.
+    :param target: the raw target as sent; never decoded or normalised, because two parsers could
+        then disagree on which resource it names.
+    :param headers: names and values in the order in which they were sent.
+    :param arrived_ms: when its first byte was received.
     """
 
     method: bytes
@@ -53,7 +53,7 @@
         return [value for key, value in self.headers if key.lower() == name]
 
     def value(self, name: bytes) -> bytes | None:
-        """Return the only value of a header; ``None`` when it is missing or given twice."""
+        """Return the single value of a header; ``None`` when it is missing or repeated."""
         found = self.values(name)
         return found[0] if len(found) == 1 else None
 
@@ -62,8 +62,8 @@
 class AnswerHead:
     """Status and headers of a server's answer.
 
-    :param length: of the body, where it was told.
-    :param chunked: whether the body comes in chunks.
+    :param length: length of the body in bytes, if stated.
+    :param chunked: whether the body uses chunked transfer coding.
     """
 
     status: int
@@ -82,7 +82,10 @@
 
 @attrs.define(slots=True)
 class IncomingAnswer:
-    """An answer as it comes in."""
+    """An answer that is being received.
+
+    :param pieces: parts of the body that were received and not yet read.
+    """
 
     head: AnswerHead
     pieces: deque[bytes] = attrs.Factory(deque)
@@ -91,10 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """No whole answer came.
+    """The result of a request without a complete answer.
 
     :param sent: whether the server may have received the request.
-    :param refused: whether the server's port refused the connection: no process listens there.
+    :param refused: whether the connection was refused: no process listens at the address.
     """
 
     sent: bool
@@ -103,7 +106,7 @@
 
 
 class BadMessage(Exception):
-    """A caller's bytes that are not taken; carries the status that fits."""
+    """Raised for a caller's bytes that are rejected; carries the status of the answer."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -112,12 +115,12 @@
 
 
 class BrokenAnswer(Exception):
-    """A server's answer that can't be read to its end."""
+    """Raised when a server's answer is invalid or incomplete."""
 
 
 class CallerLeft(BaseException):
-    """Ends a handler whose caller has closed its connection.
+    """Raised in a handler whose caller has closed the connection.
 
-    Derives from :class:`BaseException`, so that no handler for ordinary errors swallows it and goes
-    on to work for nobody.
+    Derives from :class:`BaseException`, so that no ``except Exception`` catches it and continues to
+    work on a request that nobody waits for.
     """
