--- a/monsoonflow/transport/server.py
+++ b/monsoonflow/transport/server.py
@@ -1,4 +1,4 @@
-"""Takes callers' connections and hands whole requests to a handler, one at a time each."""
+"""HTTP server that passes complete requests to a handler, one at a time per connection."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Reply:
-    """Writes the one answer to a request."""
+    """Writes the answer to one request."""
 
     def __init__(self, connection: CallerConnection) -> None:
         self._connection = connection
@@ -56,13 +56,13 @@
         self.sent_bytes = 0
 
     def has_caller_left(self) -> bool:
-        """Tell whether the caller has closed its connection since it asked."""
+        """Return whether the caller has closed its connection since it sent the request."""
         return self._connection.is_closed_by_caller()
 
     def send_whole(
         self, status: int, headers: list[Header], body: bytes = b"", reason: bytes | None = None
     ) -> None:
-        """Send a whole answer in one write."""
+        """Send a complete answer in one write."""
         self.begin(status, headers, len(body), reason, body)
         self.finish()
 
@@ -74,41 +74,44 @@
         reason: bytes | None = None,
         body: bytes = b"",
     ) -> None:
-        """Send the head, and body bytes that are there already.
+        """Send the head and the first bytes of the body, if any.
 
-        :param length: of the whole body; ``None`` sends it in chunks.
+        :param length: length of the whole body; ``None`` uses chunked transfer coding.
         """
-        text = REASON_PHRASES.get(status, b"") if reason is None else reason
-        told = list(headers)
+        phrase = REASON_PHRASES.get(status, b"") if reason is None else reason
+        all_headers = list(headers)
         self._chunked = length is None
         self._remaining_bytes = length
         if length is None:
-            told.append((b"Transfer-Encoding", b"chunked"))
+            all_headers.append((b"Transfer-Encoding", b"chunked"))
         elif status not in BODILESS_STATUSES:
-            told.append((b"Content-Length", b"%d" % length))
-        self._send_head(status, text, told, self._frame(body))
+            all_headers.append((b"Content-Length", b"%d" % length))
+        self._send_head(status, phrase, all_headers, self._frame(body))
 
     def send_without_body(
         self, status: int, headers: list[Header], length: int | None, reason: bytes | None = None
     ) -> None:
-        """Send an answer that has no body by its kind: one to a HEAD request, 204 or 304.
+        """Send an answer without a body: to a HEAD request, or with status 204 or 304.
 
-        :param length: of the body that a GET request would get; told where it is known.
+        :param length: length of the body that a GET request would get, if known.
         """
-        text = REASON_PHRASES.get(status, b"") if reason is None else reason
-        told = list(headers)
+        phrase = REASON_PHRASES.get(status, b"") if reason is None else reason
+        all_headers = list(headers)
         if length is not None and status not in BODILESS_STATUSES:
-            told.append((b"Content-Length", b"%d" % length))
-        self._send_head(status, text, told)
+            all_headers.append((b"Content-Length", b"%d" % length))
+        self._send_head(status, phrase, all_headers)
         self.finished = True
 
     def write(self, data: bytes) -> None:
-        """Send body bytes."""
+        """Send a part of the body."""
         if data:
             self._send(self._frame(data))
 
     def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Complete the answer.
+
+        :raises ValueError: when fewer body bytes were sent than stated.
+        """
         if self._chunked:
             self._send(b"0\r\n\r\n")
         elif self._remaining_bytes:
@@ -116,9 +119,9 @@
         self.finished = True
 
     def raise_if_caller_left(self) -> None:
-        """Look whether the caller still waits, where nobody may have looked yet.
+        """Check the connection for a close that has not been noticed yet.
 
-        :raises CallerLeft: when it has closed its connection.
+        :raises CallerLeft: when the caller has closed its connection.
         """
         if self._connection.is_closed_by_caller():
             raise CallerLeft("closed")
@@ -150,23 +153,23 @@
 
 
 def plain_text_refusal(error: BadMessage) -> tuple[bytes, bytes]:
-    """Return content type and body of the answer to a message that is not taken."""
+    """Return content type and body of the answer to a rejected message."""
     return b"text/plain", error.reason.encode()
 
 
 class CallerConnection:
-    """One caller's connection."""
+    """A connection that a caller opened."""
 
-    def __init__(self, sock: socket.socket, port: HttpServer) -> None:
+    def __init__(self, sock: socket.socket, server: HttpServer) -> None:
         self._sock = sock
-        self._port = port
-        self._reader = RequestReader(port.limits())
+        self._http_server = server
+        self._reader = RequestReader(server.limits())
         self._close_after_answer = False
         self._pending = b""
         self._is_closed = False
 
     def serve(self) -> None:
-        """Serve requests until one side ends the connection."""
+        """Serve requests until either side closes the connection."""
         try:
             set_socket_options(self._sock)
             while self._serve_one():
@@ -179,8 +182,8 @@
             self._sock.close()
 
     def connection_header(self) -> bytes:
-        """Return what the answer says about keeping the connection."""
-        if self._close_after_answer or not self._port.keeps_alive:
+        """Return the header that states whether and how long the connection stays open."""
+        if self._close_after_answer or not self._http_server.keeps_alive:
             self._close_after_answer = True
             return b"Connection: close"
         return b"Keep-Alive: timeout=%d" % (self._reader.limits.idle_ms // 1000)
@@ -188,7 +191,7 @@
     def send(self, data: bytes) -> None:
         """Send bytes to the caller.
 
-        :raises CallerLeft: when the caller is gone or does not read.
+        :raises CallerLeft: when the caller has closed the connection or does not read.
         """
         self._sock.settimeout(WRITE_TIMEOUT_MS / 1000)
         try:
@@ -202,13 +205,13 @@
             return False
         self._close_after_answer = not request.keep_alive
         reply = Reply(self)
-        self._port.active_count += 1
+        self._http_server.active_count += 1
         try:
             self._handle(request, reply)
         finally:
-            self._port.active_count -= 1
+            self._http_server.active_count -= 1
         if not reply.finished:
-            # Without its proper end the answer can't look complete to the caller.
+            # Closing without the proper end shows the caller that the answer is incomplete.
             return False
         if self._close_after_answer:
             self._close_gracefully()
@@ -220,7 +223,7 @@
             self._close_after_answer = True
             reply.send_whole(505, [])
             return
-        if not self._port.ends_with_caller:
+        if not self._http_server.ends_with_caller:
             self._call_handler(request, reply)
             return
         watcher = gevent.get_hub().loop.io(self._sock.fileno(), 1)
@@ -233,18 +236,18 @@
 
     def _call_handler(self, request: Request, reply: Reply) -> None:
         try:
-            self._port.handler(request, reply)
+            self._http_server.handler(request, reply)
         except Exception as error:
-            # A fault of this program must not look like a caller's or a server's: it is told, and
-            # the caller gets an answer that promises nothing.
-            log(_LOGGER, events.HandlerFailed(self._port.address, repr(error)))
+            # A bug in this program must not look like an error of a caller or server: it is
+            # logged, and the 500 tells the caller nothing about whether the request ran.
+            log(_LOGGER, events.HandlerFailed(self._http_server.address, repr(error)))
             _LOGGER.exception("event=handler_trace")
             if not reply.started:
                 self._close_after_answer = True
                 reply.send_whole(500, [])
 
     def _on_readable(self, handler: gevent.Greenlet, watcher: object) -> None:
-        """Notice a caller that leaves while its request is being served."""
+        """Buffer what a caller sends while its request is served; end the handler if it closes."""
         try:
             data = self._sock._sock.recv(READ_BYTES, native.MSG_DONTWAIT)  # noqa: SLF001
         except BlockingIOError:
@@ -261,7 +264,7 @@
         handler.kill(CallerLeft("closed"), block=False)
 
     def is_closed_by_caller(self) -> bool:
-        """Tell whether the caller has closed the connection; reads nothing and doesn't wait."""
+        """Return whether the caller has closed the connection, without reading or blocking."""
         if self._is_closed:
             return True
         try:
@@ -281,7 +284,7 @@
                 data = self._read()
             if not data:
                 return None
-            reader.feed(data, self._port.clock.now_ms())
+            reader.feed(data, self._http_server.clock.now_ms())
             if reader.wants_continue and not reader.complete_requests:
                 reader.wants_continue = False
                 self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -289,33 +292,33 @@
 
     def _read(self) -> bytes:
         reader = self._reader
-        begun = reader.has_begun
-        limit_ms = reader.limits.head_ms if begun else reader.limits.idle_ms + 1_000
-        self._sock.settimeout(limit_ms / 1000)
-        if not begun:
-            self._port.idle_connections.add(self)
+        has_begun = reader.has_begun
+        timeout_ms = reader.limits.head_ms if has_begun else reader.limits.idle_ms + 1_000
+        self._sock.settimeout(timeout_ms / 1000)
+        if not has_begun:
+            self._http_server.idle_connections.add(self)
         try:
             return self._sock.recv(READ_BYTES)
         except TimeoutError:
-            if begun:
+            if has_begun:
                 raise BadMessage(408, "the request did not come in time") from None
             return b""
         finally:
-            self._port.idle_connections.discard(self)
+            self._http_server.idle_connections.discard(self)
 
     def _refuse(self, error: BadMessage) -> None:
-        """Answer what can't be taken and close; nothing of it is passed on."""
+        """Answer a rejected message and close; nothing of it reaches the handler."""
         self._close_after_answer = True
         log(_LOGGER, events.BadMessage(status=error.status, cause=error.reason))
         try:
-            content_type, body = self._port.refusal(error)
+            content_type, body = self._http_server.refusal(error)
             Reply(self).send_whole(error.status, [(b"Content-Type", content_type)], body)
             self._close_gracefully()
         except (CallerLeft, OSError):
             return
 
     def _close_gracefully(self) -> None:
-        """Close in an order that lets the caller read the last answer.
+        """Close for writing and read what remains, so that the caller can read the last answer.
 
         Closing with unread bytes resets the connection, and the reset may overtake the answer.
         """
@@ -328,7 +331,7 @@
             return
 
     def close_idle(self) -> None:
-        """End a connection that waits for a next request."""
+        """Close a connection that waits for its next request."""
         try:
             self._sock.shutdown(native.SHUT_WR)
         except OSError:
@@ -336,12 +339,12 @@
 
 
 class HttpServer:
-    """Listens at one address.
+    """HTTP server that listens at one address.
 
     :param limits: returns the limits for new connections.
-    :param tls: a context, where callers speak TLS.
-    :param ends_with_caller: whether a handler is ended when its caller leaves.
-    :param refusal: words the answer to a message that is not taken.
+    :param tls: the TLS context, or ``None`` for plain TCP.
+    :param ends_with_caller: whether a handler is ended when its caller closes the connection.
+    :param refusal: returns content type and body of the answer to a rejected message.
     """
 
     def __init__(
@@ -363,13 +366,13 @@
         self.keeps_alive = True
         self.active_count = 0
         self.idle_connections: set[CallerConnection] = set()
-        extra = {"ssl_context": tls} if tls is not None else {}
+        tls_options = {"ssl_context": tls} if tls is not None else {}
         self._server = StreamServer(
-            split_address(address), self._serve_connection, backlog=LISTEN_BACKLOG, **extra
+            split_address(address), self._serve_connection, backlog=LISTEN_BACKLOG, **tls_options
         )
 
     def start(self) -> bool:
-        """Listen; return whether the address could be bound."""
+        """Start to listen; return whether the address could be bound."""
         try:
             self._server.start()
         except OSError as error:
@@ -378,19 +381,19 @@
         return True
 
     def stop_keep_alive(self) -> None:
-        """Answer from now on with the word that the connection ends."""
+        """Close each connection after its next answer, which announces this."""
         self.keeps_alive = False
 
     def stop_listening(self) -> None:
-        """Take no new connections and end those that wait."""
+        """Accept no new connections and close the idle ones."""
         self._server.close()
         for connection in list(self.idle_connections):
             connection.close_idle()
 
     def wait_until_idle(self, timeout_ms: int) -> None:
-        """Wait until no request is being served."""
-        until_ms = self.clock.now_ms() + timeout_ms
-        while self.active_count and self.clock.now_ms() < until_ms:
+        """Wait until no request is being served, or until the timeout."""
+        deadline_ms = self.clock.now_ms() + timeout_ms
+        while self.active_count and self.clock.now_ms() < deadline_ms:
             gevent.sleep(IDLE_CHECK_INTERVAL_S)
 
     def _serve_connection(self, sock: socket.socket, _peer: tuple) -> None:
--- a/monsoonflow/transport/sockets.py
+++ b/monsoonflow/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Opens sockets that notice a peer that has gone silent."""
+"""Sockets that detect a peer that no longer responds."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Set the options of every connection.
+    """Set the options that all connections have.
 
-    Without the user timeout a machine without power holds a request until its deadline; without the
-    probes a connection that something between forgot stays silent for good.
+    Without the user timeout, a peer that lost power holds a request until its deadline. Without the
+    probes, a connection whose state a device on the path has dropped is never found to be lost.
     """
     sock.setsockopt(native.IPPROTO_TCP, native.TCP_NODELAY, 1)
     sock.setsockopt(native.SOL_SOCKET, native.SO_KEEPALIVE, 1)
@@ -44,7 +44,7 @@
 def connect(address: str, timeout_ms: int = CONNECT_TIMEOUT_MS) -> socket.socket:
     """Return a new connection.
 
-    :raises OSError: when there is none within the time.
+    :raises OSError: when it can't be established before the timeout.
     """
     sock = socket.socket(native.AF_INET, native.SOCK_STREAM)
     try:
@@ -58,7 +58,7 @@
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Tell whether bytes, an end or an error wait on a connection that should be quiet."""
+    """Return whether bytes, a close or an error are pending on an idle connection."""
     try:
         sock._sock.recv(1, native.MSG_PEEK | native.MSG_DONTWAIT)  # noqa: SLF001
     except BlockingIOError:
--- a/monsoonflow/transport/wsgi.py
+++ b/monsoonflow/transport/wsgi.py
@@ -1,8 +1,8 @@
-"""Serves WSGI applications over the strict transport.
+"""Serves WSGI applications with the strict HTTP server.
 
-Operators' pages and the callers' interface of a node are bottle applications. Served by a lenient
-server they could be handed a request that hides a second one, or another target than was sent; here
-whatever the strict reader refuses never reaches the application.
+Operators' pages and the callers' interface of a node are bottle applications. A lenient server
+could pass them a request that hides a second one, or another target than the one sent. Here, what
+the strict parser rejects never reaches the application.
 """
 
 from __future__ import annotations
@@ -23,17 +23,21 @@
 Application: TypeAlias = Callable[..., Iterable[bytes]]
 
 RAW_TARGET: Final = "monsoonflow.raw_target"
-"""Key of the target as sent: the path that WSGI defines is decoded and leads elsewhere."""
+"""Key of the target as sent: WSGI decodes the path, which may then name another resource."""
 
 RAW_HEADERS: Final = "monsoonflow.raw_headers"
-"""Key of the headers in their order: WSGI merges those of one name."""
+"""Key of the headers in the order sent: WSGI merges headers of the same name."""
 
 BODILESS_STATUSES: Final = frozenset({204, 304})
 DEFAULT_LIMITS: Final = MessageLimits(head_bytes=32_768, body_bytes=1 << 28, idle_ms=60_000)
 
 
 class AnswerCut(Exception):
-    """Raised inside an answer that can't be ended: its caller must see that it was cut."""
+    """Raised by an application that can't complete its answer.
+
+    The connection is closed without the end of the answer, so that the caller sees that it is
+    incomplete.
+    """
 
 
 def start_server(
@@ -45,19 +49,19 @@
 ) -> HttpServer | None:
     """Start to serve an application.
 
-    A caller that leaves does not end its handler: what the application has begun goes on, and the
-    caller may come back for the rest of its answer.
+    A caller that closes its connection does not end its handler: the application continues, and the
+    caller may return for the rest of its answer.
 
-    :returns: the port, or ``None`` when the address can't be bound.
+    :returns: the server, or ``None`` when the address can't be bound.
     """
     handler = WsgiHandler(app, address, "https" if tls is not None else "http")
     clock = MonotonicClock()
-    port = HttpServer(address, handler, lambda: limits, clock, tls, False, refusal)
-    return port if port.start() else None
+    server = HttpServer(address, handler, lambda: limits, clock, tls, False, refusal)
+    return server if server.start() else None
 
 
 class WsgiHandler:
-    """Hands requests to an application and writes what it answers."""
+    """Passes requests to a WSGI application and writes its answers."""
 
     def __init__(self, app: Application, address: str, scheme: str) -> None:
         self._app = app
@@ -75,10 +79,10 @@
 
         pieces = self._app(self._environ(request), start_response)
         try:
-            source = iter(pieces)
-            first = next(source, b"")
+            remaining = iter(pieces)
+            first = next(remaining, b"")
             status, headers = started[0]
-            self._write(request, reply, status, headers, first, source)
+            self._write(request, reply, status, headers, first, remaining)
         except AnswerCut:
             return
         finally:
@@ -93,21 +97,21 @@
         status: str,
         headers: list[tuple[str, str]],
         first: bytes,
-        source: Iterator[bytes],
+        remaining: Iterator[bytes],
     ) -> None:
         code, _, reason = status.partition(" ")
-        told: list[Header] = []
+        raw_headers: list[Header] = []
         length: int | None = None
         for name, value in headers:
             if name.lower() == "content-length":
                 length = int(value)
             else:
-                told.append((name.encode("latin-1"), value.encode("latin-1")))
+                raw_headers.append((name.encode("latin-1"), value.encode("latin-1")))
         if request.method == b"HEAD" or int(code) in BODILESS_STATUSES:
-            reply.send_without_body(int(code), told, length, reason.encode("latin-1"))
+            reply.send_without_body(int(code), raw_headers, length, reason.encode("latin-1"))
             return
-        reply.begin(int(code), told, length, reason.encode("latin-1"), first)
-        for piece in source:
+        reply.begin(int(code), raw_headers, length, reason.encode("latin-1"), first)
+        for piece in remaining:
             reply.write(piece)
         reply.finish()
 
@@ -134,7 +138,7 @@
         }
         for name, value in request.headers:
             key = name.decode("latin-1")
-            # WSGI writes "-" as "_": a name with "_" would pass for the header that it resembles.
+            # WSGI replaces "-" by "_": a name with "_" could be mistaken for another header.
             if "_" not in key:
                 _add_header(environ, key.upper().replace("-", "_"), value.decode("latin-1"))
         return environ
