--- a/tests/transport/test_wsgi.py
+++ b/tests/transport/test_wsgi.py
@@ -14,7 +14,7 @@
 from monsoonflow.transport.server import HttpServer
 from monsoonflow.transport.wsgi import RAW_HEADERS, RAW_TARGET, AnswerCut, start_server
 from script.ports import free_port
-from tests.transport.test_callers_port import REFUSED, SECOND
+from tests.transport.test_server import REFUSED, SECOND
 
 LIMITS = MessageLimits(body_bytes=1_000)
 
