--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -1,4 +1,4 @@
-"""Ports on loopback that note what they hand on."""
+"""HTTP servers on loopback that record the requests passed to their handlers."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 
 
 @attrs.define
-class Listening:
-    """A port with what it handed on."""
+class RunningServer:
+    """A server with the requests that reached its handler."""
 
-    port: HttpServer
-    number: int
-    taken: list[Request]
+    server: HttpServer
+    port: int
+    requests: list[Request]
 
     def connect(self) -> socket.socket:
-        """Return a raw connection to it."""
-        return socket.create_connection(("127.0.0.1", self.number), timeout=3)
+        """Return a raw connection to the server."""
+        return socket.create_connection(("127.0.0.1", self.port), timeout=3)
 
     def exchange(self, data: bytes) -> bytes:
-        """Send raw bytes and return all that comes until the port closes."""
+        """Send raw bytes and return everything received until the server closes."""
         sock = self.connect()
         sock.sendall(data)
         sock.settimeout(3)
-        got = b""
+        received = b""
         try:
             while piece := sock.recv(65_536):
-                got += piece
+                received += piece
         except OSError:
             pass
         sock.close()
-        return got
+        return received
 
 
 Handler = Callable[[Request, Reply], None]
@@ -51,26 +51,26 @@
 
 
 @pytest.fixture
-def listen() -> Iterator[Callable[..., Listening]]:
-    """Return a function that opens a port."""
-    opened: list[HttpServer] = []
+def listen() -> Iterator[Callable[..., RunningServer]]:
+    """Return a function that starts a server."""
+    servers: list[HttpServer] = []
 
-    def open_port(handler: Handler = echo, limits: MessageLimits | None = None) -> Listening:
-        number = free_port()
-        taken: list[Request] = []
+    def start(handler: Handler = echo, limits: MessageLimits | None = None) -> RunningServer:
+        port = free_port()
+        requests: list[Request] = []
 
         def handle(request: Request, reply: Reply) -> None:
-            taken.append(request)
+            requests.append(request)
             handler(request, reply)
 
-        port = HttpServer(
-            f"127.0.0.1:{number}", handle, lambda: limits or MessageLimits(), MonotonicClock()
+        server = HttpServer(
+            f"127.0.0.1:{port}", handle, lambda: limits or MessageLimits(), MonotonicClock()
         )
-        assert port.start()
-        opened.append(port)
-        return Listening(port, number, taken)
+        assert server.start()
+        servers.append(server)
+        return RunningServer(server, port, requests)
 
     with gevent.Timeout(20):
-        yield open_port
-    for port in opened:
-        port.stop_listening()
+        yield start
+    for server in servers:
+        server.stop_listening()
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -1,4 +1,4 @@
-"""What servers answer: only a whole answer to this request is ever taken for one."""
+"""Tests of the HTTP client: only a complete answer to the request counts as its answer."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from monsoonflow.transport.models import BrokenAnswer, Lost
 from monsoonflow.transport.sockets import is_readable
 
-CODED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: "
-WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+ANSWER_WITH_CODING = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: "
+COMPLETE_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 @pytest.fixture
 def serve() -> Iterator[Callable[[Callable], str]]:
-    """Return a function that starts a server from what it does with a connection."""
+    """Return a function that starts a server with a given connection handler."""
     servers: list[StreamServer] = []
 
     def start(handle: Callable[[socket.socket], None]) -> str:
@@ -35,53 +35,57 @@
         server.close()
 
 
-def answering(*answers: bytes, end: bool = False) -> Callable[[socket.socket], None]:
-    """Return a server that sends one of the answers to each request."""
+def answer_with(*answers: bytes, close_after: bool = False) -> Callable[[socket.socket], None]:
+    """Return a connection handler that sends the next of the answers to each request."""
 
     def handle(sock: socket.socket) -> None:
         for answer in answers:
             if not sock.recv(65_536):
                 return
             sock.sendall(answer)
-        if not end:
+        if not close_after:
             gevent.sleep(5)
 
     return handle
 
 
-def ask(
+def request(
     pools: ConnectionPools, address: str, body: bytes = b"", timeout_ms: int = 500
 ) -> Answer | Lost:
     return call(pools, address, "POST", "/x", body, timeout_ms)
 
 
-BROKEN = {
+BROKEN_ANSWERS = {
     "bytes that are no answer": b"garbage\r\n\r\n",
     "a body that ends early": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
     "chunks that end early": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok",
-    "length and chunks": CODED + b"chunked\r\nContent-Length: 2\r\n\r\n",
-    "a coding besides chunked": CODED + b"gzip, chunked\r\n\r\n0\r\n\r\n",
+    "length and chunks": ANSWER_WITH_CODING + b"chunked\r\nContent-Length: 2\r\n\r\n",
+    "a coding besides chunked": ANSWER_WITH_CODING + b"gzip, chunked\r\n\r\n0\r\n\r\n",
 }
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_answer_is_never_a_whole_one(serve, name):
-    result = ask(ConnectionPools(MonotonicClock()), serve(answering(BROKEN[name], end=True)))
+@pytest.mark.parametrize("name", BROKEN_ANSWERS)
+def test_a_broken_answer_never_counts_as_complete(serve, name):
+    result = request(
+        ConnectionPools(MonotonicClock()),
+        serve(answer_with(BROKEN_ANSWERS[name], close_after=True)),
+    )
     assert isinstance(result, Lost)
     assert result.sent
 
 
-def test_an_answer_without_length_ends_with_its_connection(serve):
-    address = serve(answering(b"HTTP/1.1 200 OK\r\n\r\nall of it", end=True))
-    result = ask(ConnectionPools(MonotonicClock()), address)
+def test_an_answer_without_length_ends_when_the_connection_closes(serve):
+    address = serve(answer_with(b"HTTP/1.1 200 OK\r\n\r\nall of it", close_after=True))
+    result = request(ConnectionPools(MonotonicClock()), address)
     assert isinstance(result, Answer)
     assert result.body == b"all of it"
 
 
-def test_an_answer_without_length_that_is_reset_is_not_whole(serve):
+def test_an_answer_without_length_is_incomplete_after_a_reset(serve):
     """The server's process dies in the middle of an answer that has no length.
 
-    Its kernel resets the connection; taken for an end, half an answer would look whole.
+    The kernel resets the connection. Treated as an orderly close, this would make half an answer
+    look complete.
     """
 
     def handle(sock: socket.socket) -> None:
@@ -90,49 +94,57 @@
         gevent.sleep(0.05)
         sock.close()  # unread bytes: the kernel sends a reset
 
-    result = ask(ConnectionPools(MonotonicClock()), serve(handle), b"a body that is never read")
+    result = request(ConnectionPools(MonotonicClock()), serve(handle), b"a body that is never read")
     assert isinstance(result, Lost)
 
 
-def test_a_connection_with_bytes_left_over_is_not_used_again(serve):
+def test_a_connection_with_unread_bytes_is_not_reused(serve):
     """A faulty server sends a second answer after the first.
 
-    Used again, the connection would give it to the next caller.
+    If the connection were reused, the next caller would get that answer.
     """
     pools = ConnectionPools(MonotonicClock())
-    address = serve(answering(WHOLE + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", WHOLE))
-    assert ask(pools, address).body == b"ok"
-    assert ask(pools, address).body == b"ok"
+    address = serve(
+        answer_with(
+            COMPLETE_ANSWER + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", COMPLETE_ANSWER
+        )
+    )
+    assert request(pools, address).body == b"ok"
+    assert request(pools, address).body == b"ok"
     assert pools.opened_count == 2
 
 
-def test_a_connection_on_which_something_came_while_it_rested_is_not_used_again(serve):
+def test_a_connection_that_received_bytes_while_idle_is_not_reused(serve):
     def handle(sock: socket.socket) -> None:
         sock.recv(65_536)
-        sock.sendall(WHOLE)
+        sock.sendall(COMPLETE_ANSWER)
         gevent.sleep(0.05)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
         gevent.sleep(5)
 
     pools = ConnectionPools(MonotonicClock())
     address = serve(handle)
-    assert ask(pools, address).body == b"ok"
+    assert request(pools, address).body == b"ok"
     gevent.sleep(0.1)
-    assert ask(pools, address).body == b"ok"
+    assert request(pools, address).body == b"ok"
     assert pools.opened_count == 2
 
 
-def test_informational_answers_are_passed_over(serve):
+def test_informational_answers_are_skipped(serve):
     interim = b"HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n"
     assert (
-        ask(ConnectionPools(MonotonicClock()), serve(answering(interim * 2 + WHOLE))).body == b"ok"
+        request(
+            ConnectionPools(MonotonicClock()), serve(answer_with(interim * 2 + COMPLETE_ANSWER))
+        ).body
+        == b"ok"
     )
 
 
 def test_a_server_may_answer_before_it_has_read_a_long_body(serve):
     """The server refuses a long body after its first bytes and keeps the connection.
 
-    The answer is read at once, and the rest of the body is not sent as the next request's bytes.
+    The answer is read immediately, and the rest of the body is not sent as part of the next
+    request.
     """
 
     def handle(sock: socket.socket) -> None:
@@ -142,57 +154,57 @@
 
     pools = ConnectionPools(MonotonicClock())
     address = serve(handle)
-    result = ask(pools, address, b"x" * 8_000_000, 2_000)
+    result = request(pools, address, b"x" * 8_000_000, 2_000)
     assert isinstance(result, Answer)
     assert result.head.status == 413
-    ask(pools, address, b"", 200)
+    request(pools, address, b"", 200)
     assert pools.opened_count == 2
 
 
-def test_nothing_is_sent_twice(serve):
-    """The server takes a request on a kept connection and closes without an answer.
+def test_a_request_is_never_retried_by_the_client(serve):
+    """The server receives a request on a reused connection and closes without an answer.
 
-    Whether it ran is unknown; only the caller may decide to send it again.
+    Whether the request ran is unknown; only the caller may decide to retry it.
     """
-    taken = []
+    received = []
 
     def handle(sock: socket.socket) -> None:
         while data := sock.recv(65_536):
-            taken.append(data)
-            if len(taken) == 2:
+            received.append(data)
+            if len(received) == 2:
                 sock.close()
                 return
-            sock.sendall(WHOLE)
+            sock.sendall(COMPLETE_ANSWER)
 
     pools = ConnectionPools(MonotonicClock())
     address = serve(handle)
-    ask(pools, address)
-    result = ask(pools, address)
+    request(pools, address)
+    result = request(pools, address)
     assert isinstance(result, Lost)
     assert result.sent
-    assert len(taken) == 2
+    assert len(received) == 2
 
 
-def test_no_connection_means_nothing_was_sent():
-    result = ask(ConnectionPools(MonotonicClock()), "127.0.0.1:1")
+def test_a_request_without_a_connection_counts_as_not_sent():
+    result = request(ConnectionPools(MonotonicClock()), "127.0.0.1:1")
     assert isinstance(result, Lost)
     assert not result.sent
 
 
-def test_head_and_bodiless_answers_end_with_their_head(serve):
+def test_answers_to_head_and_with_status_204_end_with_their_head(serve):
     pools = ConnectionPools(MonotonicClock())
-    address = serve(answering(b"HTTP/1.1 204 No Content\r\n\r\n"))
-    assert ask(pools, address).head.status == 204
-    head = serve(answering(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n"))
-    connection = pools.acquire(head, head)
+    address = serve(answer_with(b"HTTP/1.1 204 No Content\r\n\r\n"))
+    assert request(pools, address).head.status == 204
+    head_address = serve(answer_with(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n"))
+    connection = pools.acquire(head_address, head_address)
     connection.send(b"HEAD / HTTP/1.1\r\nHost: h\r\n\r\n", b"", is_head_request=True)
-    until_ms = MonotonicClock().now_ms() + 500
-    assert connection.read_head(until_ms).status == 200
-    assert connection.read_piece(until_ms) is None
+    deadline_ms = MonotonicClock().now_ms() + 500
+    assert connection.read_head(deadline_ms).status == 200
+    assert connection.read_piece(deadline_ms) is None
     assert not connection.is_reusable()
 
 
-def test_a_quiet_connection_is_told_from_one_that_ended(serve):
+def test_an_idle_connection_is_readable_only_after_the_server_closes_it(serve):
     address = serve(lambda sock: gevent.sleep(0.1))
     sock = socket.create_connection(("127.0.0.1", int(address.rpartition(":")[2])))
     assert not is_readable(sock)
@@ -200,8 +212,8 @@
     assert is_readable(sock)
 
 
-def test_silence_ends_a_call_in_time(serve):
-    result = ask(
+def test_a_call_times_out_when_the_server_does_not_answer(serve):
+    result = request(
         ConnectionPools(MonotonicClock()), serve(lambda sock: gevent.sleep(5)), timeout_ms=100
     )
     assert isinstance(result, Lost)
