--- a/monsoonflow/transport/codec.py
+++ b/monsoonflow/transport/codec.py
@@ -192,7 +192,7 @@
         except httptools.HttpParserError as error:
             self.error = str(error)
         if not self._is_head_complete and self._head_bytes > MAX_ANSWER_HEAD_BYTES + len(data):
-            self.error = "the head never ends"
+            self.error = "the head exceeds the size limit"
         if self.error is not None and not (self.answers and self.answers[0].is_complete):
             raise BrokenAnswer(self.error)
 
@@ -236,7 +236,7 @@
         codings = [value for name, value in self._headers if name.lower() == b"transfer-encoding"]
         if codings and [coding.lower() for coding in codings] != [b"chunked"]:
             # No answer is added, so that feed() raises the error.
-            self.error = "a coding other than chunked"
+            self.error = "the transfer coding is not chunked"
             return
         length = int(lengths[0]) if lengths and lengths[0].isdigit() else None
         if status in BODILESS_STATUSES or self._is_head_request:
--- a/monsoonflow/transport/server.py
+++ b/monsoonflow/transport/server.py
@@ -115,7 +115,7 @@
         if self._chunked:
             self._send(b"0\r\n\r\n")
         elif self._remaining_bytes:
-            raise ValueError("the answer is shorter than told")
+            raise ValueError("the answer is shorter than its stated length")
         self.finished = True
 
     def raise_if_caller_left(self) -> None:
@@ -127,14 +127,14 @@
             raise CallerLeft("closed")
 
     def _send_head(
-        self, status: int, reason: bytes, headers: list[Header], rest: bytes = b""
+        self, status: int, reason: bytes, headers: list[Header], first_body_bytes: bytes = b""
     ) -> None:
         lines = [b"HTTP/1.1 %d %s" % (status, reason)]
         lines += [b"%s: %s" % header for header in headers]
         lines.append(self._connection.connection_header())
         self.started = True
         self.status = status
-        self._send(b"\r\n".join(lines) + b"\r\n\r\n" + rest)
+        self._send(b"\r\n".join(lines) + b"\r\n\r\n" + first_body_bytes)
 
     def _frame(self, data: bytes) -> bytes:
         self.sent_bytes += len(data)
